--- a/include/monsoongrade/duties/dutyholder.h
+++ b/include/monsoongrade/duties/dutyrunner.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_DUTIES_DUTYHOLDER_H
-#define MONSOONGRADE_DUTIES_DUTYHOLDER_H
+#ifndef MONSOONGRADE_DUTIES_DUTYRUNNER_H
+#define MONSOONGRADE_DUTIES_DUTYRUNNER_H
 
 #include <monsoongrade/duties/duty.h>
 #include <monsoongrade/duties/lease.h>
@@ -12,10 +12,10 @@
 
 // Keeps one lease for any number of duties and lets them act while this host holds it. Logs when
 // the lease is gained and lost.
-class DutyHolder
+class DutyRunner
 {
 public:
-    DutyHolder(Lease::Settings settings, LeaseStore &store, const units::Clock &clock);
+    DutyRunner(Lease::Settings settings, LeaseStore &store, const units::Clock &clock);
 
     // The duty must outlive this object.
     void add(Duty &duty) { duties_.push_back(&duty); }
@@ -24,7 +24,7 @@
     // Gives the lease back, at a planned stop: at once, or when the last call has ended.
     void stop();
     // The token under which this host may act now; 0 if it may not.
-    FencingToken tokenInForce() const;
+    FencingToken currentToken() const;
 
 private:
     bool hasOpenCall() const;
@@ -44,4 +44,4 @@
 
 } // namespace monsoongrade::duties
 
-#endif // MONSOONGRADE_DUTIES_DUTYHOLDER_H
+#endif // MONSOONGRADE_DUTIES_DUTYRUNNER_H
--- a/include/monsoongrade/duties/lease.h
+++ b/include/monsoongrade/duties/lease.h
@@ -43,7 +43,7 @@
     // time counts from now on.
     Step next(bool isCandidate, units::TimePoint now);
     // The answer to the last step.
-    void onAnswer(const LeaseAnswer &answer, units::TimePoint now);
+    void onAnswer(const LeaseCallResult &answer, units::TimePoint now);
 
     // Gives the lease up for good, at a planned stop.
     void release() { isReleasing_ = true; }
--- a/include/monsoongrade/duties/leasestore.h
+++ b/include/monsoongrade/duties/leasestore.h
@@ -9,7 +9,7 @@
 namespace monsoongrade::duties {
 
 // What a call told about the lease.
-struct LeaseAnswer
+struct LeaseCallResult
 {
     enum class Outcome {
         Stored, // the lease as the store holds it, whether or not the call changed it
@@ -25,7 +25,7 @@
 class LeaseStore
 {
 public:
-    using Done = std::function<void(LeaseAnswer)>;
+    using Done = std::function<void(LeaseCallResult)>;
 
     virtual ~LeaseStore() = default;
     // May return an older state.
--- a/include/monsoongrade/duties/usageledger.h
+++ b/include/monsoongrade/duties/usageledger.h
@@ -30,9 +30,9 @@
     // self: this life of this host.
     explicit UsageLedger(std::string self);
 
-    const std::string &self() const { return self_; }
+    const std::string &sourceId() const { return self_; }
     // A request began to run.
-    void count(WindowNumber window, const units::WorkspaceName &workspace);
+    void increment(WindowNumber window, const units::WorkspaceName &workspace);
     // What a life of a host said of itself.
     void merge(const std::string &reporter, const UsageEntry &entry);
 
@@ -43,7 +43,7 @@
     // All own counts.
     std::vector<UsageEntry> own() const;
 
-    void forgetBefore(WindowNumber window);
+    void eraseBefore(WindowNumber window);
 
 private:
     using ByWorkspace = std::map<units::WorkspaceName, std::uint64_t>;
--- a/include/monsoongrade/duties/counttelling.h
+++ b/include/monsoongrade/duties/usagepublisher.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_DUTIES_COUNTTELLING_H
-#define MONSOONGRADE_DUTIES_COUNTTELLING_H
+#ifndef MONSOONGRADE_DUTIES_USAGEPUBLISHER_H
+#define MONSOONGRADE_DUTIES_USAGEPUBLISHER_H
 
 #include <monsoongrade/duties/usageledger.h>
 #include <monsoongrade/units/clock.h>
@@ -12,9 +12,9 @@
 namespace monsoongrade::duties {
 
 // Own counts to be told to one host.
-struct CountNews
+struct UsageUpdate
 {
-    std::string keeper; // its IP
+    std::string collector; // its IP
     std::vector<UsageEntry> entries;
 };
 
@@ -22,16 +22,16 @@
 // all the time and may be lost at any moment, with what it has not told. So changes are told
 // several times a second, and all counts now and then and to each new keeper, which makes up for
 // messages that were lost.
-class CountTelling
+class UsagePublisher
 {
 public:
-    explicit CountTelling(std::string ownIp);
+    explicit UsagePublisher(std::string ownIp);
 
     // The pause between two rounds. Longer in a large fleet, whose keepers hear from all hosts.
     static units::Duration interval(std::size_t hosts);
     // What is to be told now.
-    std::vector<CountNews> round(const std::vector<std::string> &keepers, UsageLedger &ledger,
-                                 units::TimePoint now);
+    std::vector<UsageUpdate> nextUpdates(const std::vector<std::string> &keepers,
+                                         UsageLedger &ledger, units::TimePoint now);
 
 private:
     std::string ownIp_;
@@ -41,4 +41,4 @@
 
 } // namespace monsoongrade::duties
 
-#endif // MONSOONGRADE_DUTIES_COUNTTELLING_H
+#endif // MONSOONGRADE_DUTIES_USAGEPUBLISHER_H
--- a/include/monsoongrade/duties/usagereporting.h
+++ b/include/monsoongrade/duties/usagereporter.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_DUTIES_USAGEREPORTING_H
-#define MONSOONGRADE_DUTIES_USAGEREPORTING_H
+#ifndef MONSOONGRADE_DUTIES_USAGEREPORTER_H
+#define MONSOONGRADE_DUTIES_USAGEREPORTER_H
 
 #include <monsoongrade/duties/duty.h>
 #include <monsoongrade/duties/dutyplatform.h>
@@ -15,12 +15,11 @@
 
 // The duty of reporting usage: the counts of each window that ended are first fixed in the store
 // and then sent as they were fixed, also if this host or another one has to send them again.
-class UsageReporting : public Duty
+class UsageReporter : public Duty
 {
 public:
-    UsageReporting(UsageWindows windows, const UsageLedger &ledger,
-                   const WallTimeEstimate &wallTime, UsageReportStore &store,
-                   DutyPlatform &platform, const units::Clock &clock);
+    UsageReporter(UsageWindows windows, const UsageLedger &ledger, const WallTimeEstimate &wallTime,
+                  UsageReportStore &store, DutyPlatform &platform, const units::Clock &clock);
 
     void act(FencingToken token) override;
     bool hasOpenCall() const override { return isCalling_; }
@@ -55,4 +54,4 @@
 
 } // namespace monsoongrade::duties
 
-#endif // MONSOONGRADE_DUTIES_USAGEREPORTING_H
+#endif // MONSOONGRADE_DUTIES_USAGEREPORTER_H
--- a/include/monsoongrade/duties/usagereportstore.h
+++ b/include/monsoongrade/duties/usagereportstore.h
@@ -18,7 +18,7 @@
 
     virtual ~UsageReportStore() = default;
     // Creates the report of the window, or reads the one that is there.
-    virtual void fix(WindowNumber window, const UsageCounts &counts, Done done) = 0;
+    virtual void createOrRead(WindowNumber window, const UsageCounts &counts, Done done) = 0;
     // Removes the report of a window so old that no host would report it.
     virtual void remove(WindowNumber window) = 0;
 };
--- a/include/monsoongrade/duties/usagewindow.h
+++ b/include/monsoongrade/duties/usagewindow.h
@@ -22,7 +22,10 @@
     units::Duration length; // of one window
     units::Duration dueWithin; // after a window's end, its report is due
 
-    WindowNumber at(WallTime time) const { return WindowNumber(time.time_since_epoch() / length); }
+    WindowNumber windowAt(WallTime time) const
+    {
+        return WindowNumber(time.time_since_epoch() / length);
+    }
     WallTime endOf(WindowNumber window) const { return WallTime((window.value() + 1) * length); }
 };
 
--- a/include/monsoongrade/gateway/directory.h
+++ b/include/monsoongrade/gateway/directory.h
@@ -14,8 +14,8 @@
 // domain has the same ones at every host that is asked: callers close connections to hosts that
 // are missing from a new answer. Hosts that take requests; if none does, those that run and are
 // not leaving, since one of them will be the first to take requests again.
-std::vector<std::string> hostsForCallers(const routing::PeerNews &own,
-                                         const std::vector<routing::PeerNews> &live,
+std::vector<std::string> hostsForCallers(const routing::PeerUpdate &own,
+                                         const std::vector<routing::PeerUpdate> &live,
                                          const units::FailureDomain &callersDomain,
                                          std::size_t maxHosts);
 
--- a/include/monsoongrade/gateway/dutyservice.h
+++ b/include/monsoongrade/gateway/dutyservice.h
@@ -1,11 +1,11 @@
 #ifndef MONSOONGRADE_GATEWAY_DUTYSERVICE_H
 #define MONSOONGRADE_GATEWAY_DUTYSERVICE_H
 
-#include <monsoongrade/duties/dutyholder.h>
-#include <monsoongrade/duties/usagereporting.h>
+#include <monsoongrade/duties/dutyrunner.h>
+#include <monsoongrade/duties/usagereporter.h>
 #include <monsoongrade/gateway/gateway.h>
+#include <monsoongrade/scaling/poolautoscaler.h>
 #include <monsoongrade/scaling/preemptiblespread.h>
-#include <monsoongrade/scaling/workerordering.h>
 
 namespace monsoongrade::gateway {
 
@@ -36,10 +36,10 @@
 
     httpio::Timers &timers_;
     Gateway &gateway_;
-    duties::DutyHolder holder_;
-    duties::UsageReporting usage_;
+    duties::DutyRunner holder_;
+    duties::UsageReporter usage_;
     scaling::PreemptibleSpread sizing_;
-    scaling::WorkerOrdering workers_;
+    scaling::PoolAutoscaler workers_;
     bool isStopping_ = false;
 };
 
--- a/include/monsoongrade/gateway/eventrelay.h
+++ b/include/monsoongrade/gateway/eventrelay.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_GATEWAY_EVENTRELAY_H
 #define MONSOONGRADE_GATEWAY_EVENTRELAY_H
 
-#include <monsoongrade/httpio/wholeevents.h>
+#include <monsoongrade/httpio/sseeventbuffer.h>
 #include <monsoongrade/units/clock.h>
 
 #include <cstdint>
@@ -20,8 +20,8 @@
     // client has already are left out.
     std::string take(std::string_view bytes, units::TimePoint now);
     // The stream ended in order: what is left of an unfinished event.
-    std::string takeRest() { return events_.takeRest(); }
-    bool hasRest() const { return events_.hasRest(); }
+    std::string takePartialEvent() { return events_.takePartialEvent(); }
+    bool hasPartialEvent() const { return events_.hasPartialEvent(); }
     // The endpoint broke off; another one goes on after lastId().
     void resume();
     // Id of the last whole event that the client got; empty before the first.
@@ -37,7 +37,7 @@
 private:
     std::string withoutKnown(const std::string &whole);
 
-    httpio::WholeEvents events_;
+    httpio::SseEventBuffer events_;
     std::string lastId_;
     std::int64_t lastNumber_ = 0;
     std::int64_t step_ = 1;
--- a/include/monsoongrade/gateway/exchange.h
+++ b/include/monsoongrade/gateway/exchange.h
@@ -16,14 +16,14 @@
 // One client request from its receipt to its final answer: finds an endpoint, sends the request,
 // relays the response, and decides with the routing part what follows a failure. Keeps itself
 // alive until it is finished.
-class Exchange : public std::enable_shared_from_this<Exchange>, private httpio::ChannelUser
+class Exchange : public std::enable_shared_from_this<Exchange>, private httpio::ChannelListener
 {
 public:
     static void start(GatewayState &state, httpio::ServerRequest request,
-                      std::shared_ptr<httpio::Reply> reply);
+                      std::shared_ptr<httpio::ResponseWriter> reply);
 
     Exchange(GatewayState &state, httpio::ServerRequest request,
-             std::shared_ptr<httpio::Reply> reply);
+             std::shared_ptr<httpio::ResponseWriter> reply);
     ~Exchange() override;
 
 private:
@@ -70,14 +70,14 @@
     void watchSilence(units::Duration limit);
     void onSilence();
     void onDeadline();
-    void onClientGone();
+    void onClientDisconnected();
 
     void suspectIfSilent();
-    void releaseEndpoint(routing::PlacementNews news = routing::PlacementNews::Withdrawn);
+    void releaseEndpoint(routing::PlacementEvent news = routing::PlacementEvent::Withdrawn);
     void endpointFailed();
     void noteCrash();
     void noteCompleted();
-    std::optional<units::Duration> quarantineLeft();
+    std::optional<units::Duration> quarantineRemaining();
     void dropChannel();
     void logEnd(std::string_view outcome, int status, units::ResultCode reason) const;
     void finish(std::string_view outcome, int status, units::ResultCode reason);
@@ -87,8 +87,8 @@
 
     GatewayState &state_;
     httpio::ServerRequest request_;
-    std::shared_ptr<httpio::Reply> reply_;
-    routing::RequestFacts facts_;
+    std::shared_ptr<httpio::ResponseWriter> reply_;
+    routing::RequestMetadata facts_;
     std::optional<routing::RequestIdentity> identity_; // hashed when first needed
     std::shared_ptr<const routing::RouteTable> table_; // keeps route_ alive
     routing::Admission admission_;
@@ -101,7 +101,7 @@
     httpio::Timers::Handle suspicionTimer_;
 
     // The present attempt
-    routing::EndpointRoster::Status endpoint_;
+    routing::EndpointRegistry::Status endpoint_;
     routing::PlacementTicket ticket_;
     std::uint64_t placingNumber_ = 0;
     units::TimePoint placingSince_;
@@ -112,7 +112,7 @@
     bool firstByteSeen_ = false;
     ResponseUse use_ = ResponseUse::None;
     httpio::MessageHead responseHead_;
-    EndpointAnswer answer_;
+    EndpointResponseInfo answer_;
     std::string collected_;
 
     // Over all attempts
--- a/include/monsoongrade/gateway/gateway.h
+++ b/include/monsoongrade/gateway/gateway.h
@@ -21,16 +21,16 @@
 class Gateway
 {
 public:
-    using Page
-        = std::function<void(const Gateway &, const httpio::ServerRequest &, httpio::Reply &)>;
-    struct Pages
+    using Page = std::function<void(const Gateway &, const httpio::ServerRequest &,
+                                    httpio::ResponseWriter &)>;
+    struct PageHandlers
     {
         Page readiness;
         Page directory;
     };
 
     Gateway(asio::io_context &io, httpio::Timers &timers, const GatewaySettings &settings,
-            const RequestDialect &dialect, Pages pages);
+            const HeaderCodec &dialect, PageHandlers pages);
 
     // Opens the listening sockets and begins to talk to the other hosts.
     void start();
@@ -38,7 +38,7 @@
     // A newer configuration; an older one than that in force is ignored.
     void applyConfiguration(routing::TrafficConfiguration configuration);
     // No configuration that was accepted before this time is missing here.
-    void proveConfiguration(units::TimePoint at);
+    void markConfigurationCurrent(units::TimePoint at);
     void replaceEndpoints(const std::vector<routing::DiscoveredEndpoint> &endpoints,
                           units::TimePoint keepMissingUntil);
     void updateEndpoint(const routing::DiscoveredEndpoint &endpoint);
@@ -46,10 +46,10 @@
     // The cells of the fleet, as told by a host that has the list of all endpoints. None: the list
     // here is of all endpoints, and the cells follow from it.
     void setDivision(const std::optional<routing::FleetDivision> &told);
-    const routing::FleetDivision &division() const { return state_.roster.division(); }
+    const routing::FleetDivision &division() const { return state_.registry.division(); }
 
     // Whether the platform's store answers this host.
-    void setHasStore(bool hasStore) { gossip_.setHasStore(hasStore); }
+    void setStoreReachable(bool hasStore) { gossip_.setStoreReachable(hasStore); }
     // The store turned this host away though others have it.
     void setStoreRefused(bool isRefused) { gossip_.setStoreRefused(isRefused); }
     // Fencing token of the duties' lease that this host holds; 0 if it does not.
@@ -67,7 +67,7 @@
     GatewayState &state() { return state_; }
     const GatewaySettings &settings() const { return settings_; }
     // The hosts that are live, this one included.
-    std::vector<routing::PeerNews> hosts() const;
+    std::vector<routing::PeerUpdate> hosts() const;
     // IPs of the hosts that the settings name, this one perhaps among them.
     std::vector<std::string> seedIps() const;
 
@@ -76,17 +76,17 @@
     void onGossipRound();
     void divide(const routing::FleetDivision &division);
     void divideByOwnList();
-    void setPlacingOrders(const std::vector<routing::PeerNews> &live);
-    void onLimitNews(const routing::LimitNews &news);
+    void setPlacingOrders(const std::vector<routing::PeerUpdate> &live);
+    void onRateLimitUpdate(const routing::RateLimitUpdate &news);
     void noteOwnState();
-    void noteHosts(const std::vector<routing::PeerNews> &hosts);
+    void noteHosts(const std::vector<routing::PeerUpdate> &hosts);
     void waitForOpenRequests();
-    void serveMetrics(const httpio::ServerRequest &request, httpio::Reply &reply);
+    void serveMetrics(const httpio::ServerRequest &request, httpio::ResponseWriter &reply);
 
     asio::io_context &io_;
     httpio::Timers &timers_;
     GatewaySettings settings_;
-    Pages pages_;
+    PageHandlers pages_;
     GatewayState state_;
     httpio::ServerLimits pageLimits_;
     std::unique_ptr<httpio::Server> callers_;
@@ -96,7 +96,7 @@
     PeerGossip gossip_;
     bool listsAllEndpoints_ = true;
     bool leaving_ = false;
-    routing::PeerState lastState_ = routing::PeerState::Waiting;
+    routing::PeerState lastState_ = routing::PeerState::NotReady;
     std::vector<std::string> lastHosts_; // sorted
     units::WorkCount hostsCompared_; // to order them
     units::TimePoint stopBy_;
--- a/include/monsoongrade/gateway/gatewaysettings.h
+++ b/include/monsoongrade/gateway/gatewaysettings.h
@@ -36,7 +36,7 @@
     units::Duration revocationBound = std::chrono::seconds(5);
     // From the stop signal until the platform kills the process.
     units::Duration stopWithin = std::chrono::seconds(8);
-    routing::RetryBound retryBound;
+    routing::RetryLimit retryLimit;
     std::string logLevel = "info";
     // IP:PORT of the platform's calls that one host at a time makes for all; empty: there are none.
     std::string dutiesAddress;
--- a/include/monsoongrade/gateway/gatewaystate.h
+++ b/include/monsoongrade/gateway/gatewaystate.h
@@ -2,16 +2,16 @@
 #define MONSOONGRADE_GATEWAY_GATEWAYSTATE_H
 
 #include <monsoongrade/gateway/endpointconnections.h>
-#include <monsoongrade/gateway/firstread.h>
-#include <monsoongrade/gateway/requestdialect.h>
-#include <monsoongrade/gateway/sharedplacement.h>
-#include <monsoongrade/gateway/trafficlog.h>
+#include <monsoongrade/gateway/headercodec.h>
+#include <monsoongrade/gateway/placementservice.h>
+#include <monsoongrade/gateway/ratelimitedlog.h>
+#include <monsoongrade/gateway/startupgate.h>
 #include <monsoongrade/gateway/usagemeter.h>
 #include <monsoongrade/httpio/serverlimits.h>
-#include <monsoongrade/routing/crashledger.h>
-#include <monsoongrade/routing/endpointroster.h>
+#include <monsoongrade/routing/crashtracker.h>
+#include <monsoongrade/routing/endpointregistry.h>
 #include <monsoongrade/routing/freshnesslease.h>
-#include <monsoongrade/routing/limitboard.h>
+#include <monsoongrade/routing/ratelimittable.h>
 #include <monsoongrade/routing/retryallowance.h>
 #include <monsoongrade/routing/routetable.h>
 
@@ -38,30 +38,29 @@
 // What all requests of this host share. One thread uses it; it has no lock.
 struct GatewayState
 {
-    GatewayState(asio::io_context &io, httpio::Timers &timersToUse,
-                 const RequestDialect &dialectToUse, routing::FreshnessLease leaseToUse,
-                 SharedPlacement::Settings placementSettings)
+    GatewayState(asio::io_context &io, httpio::Timers &timersToUse, const HeaderCodec &dialectToUse,
+                 routing::FreshnessLease leaseToUse, PlacementService::Settings placementSettings)
         : timers(timersToUse)
         , dialect(dialectToUse)
         , lease(leaseToUse)
         , connections(io, timersToUse)
-        , roster(
+        , registry(
               [this](const routing::EndpointStatus &endpoint) { connections.closeIdle(endpoint); })
         , log(timersToUse)
-        , firstRead(timersToUse)
-        , placement(io, timersToUse, std::move(placementSettings), roster, log.metrics)
+        , startupGate(timersToUse)
+        , placement(io, timersToUse, std::move(placementSettings), registry, log.metrics)
     {
     }
 
     httpio::Timers &timers;
-    const RequestDialect &dialect;
+    const HeaderCodec &dialect;
     std::shared_ptr<const routing::RouteTable> table; // null until the first configuration
     routing::FreshnessLease lease;
     EndpointConnections connections;
-    routing::EndpointRoster roster;
-    routing::CrashLedger crashes;
-    routing::LimitBoard limits;
-    routing::RetryBound retryBound;
+    routing::EndpointRegistry registry;
+    routing::CrashTracker crashes;
+    routing::RateLimitTable limits;
+    routing::RetryLimit retryLimit;
     std::unordered_map<std::string, routing::RetryAllowance> retryAllowances; // by pool
     httpio::ServerLimits callerLimits;
     units::FailureDomain ownDomain;
@@ -69,9 +68,9 @@
     int openRequests = 0; // accepted and not ended
     // Of a planned stop; none while the host is not leaving.
     std::optional<PlannedStop> plannedStop;
-    TrafficLog log;
-    FirstRead firstRead;
-    SharedPlacement placement;
+    RateLimitedLog log;
+    StartupGate startupGate;
+    PlacementService placement;
     std::unique_ptr<UsageMeter> usage; // null if the platform asks for no usage reports
 };
 
--- a/include/monsoongrade/gateway/requestdialect.h
+++ b/include/monsoongrade/gateway/headercodec.h
@@ -1,9 +1,9 @@
-#ifndef MONSOONGRADE_GATEWAY_REQUESTDIALECT_H
-#define MONSOONGRADE_GATEWAY_REQUESTDIALECT_H
+#ifndef MONSOONGRADE_GATEWAY_HEADERCODEC_H
+#define MONSOONGRADE_GATEWAY_HEADERCODEC_H
 
 #include <monsoongrade/httpio/messagehead.h>
-#include <monsoongrade/routing/limitnews.h>
-#include <monsoongrade/routing/requestfacts.h>
+#include <monsoongrade/routing/ratelimitupdate.h>
+#include <monsoongrade/routing/requestmetadata.h>
 #include <monsoongrade/units/clock.h>
 #include <monsoongrade/units/ids.h>
 
@@ -22,7 +22,7 @@
 };
 
 // What an endpoint's response says besides its status and body.
-struct EndpointAnswer
+struct EndpointResponseInfo
 {
     units::RequestId request; // the request that it belongs to; empty if not given
     bool provenNotRun = false;
@@ -35,23 +35,23 @@
 };
 
 // Header names and formats of the platform, kept out of the code that forwards requests.
-class RequestDialect
+class HeaderCodec
 {
 public:
-    virtual ~RequestDialect() = default;
-    virtual routing::RequestFacts decodeRequest(const httpio::Headers &headers) const = 0;
+    virtual ~HeaderCodec() = default;
+    virtual routing::RequestMetadata decodeRequest(const httpio::Headers &headers) const = 0;
     // The client's headers for the endpoint: without the key and without what only the gateway may
     // set, and with that.
     virtual httpio::Headers endpointHeaders(const httpio::Headers &client,
                                             const EndpointRequest &request) const = 0;
-    virtual EndpointAnswer decodeAnswer(const httpio::MessageHead &head) const = 0;
+    virtual EndpointResponseInfo decodeResponse(const httpio::MessageHead &head) const = 0;
     // The endpoint's headers for the client.
     virtual httpio::Headers clientHeaders(const httpio::Headers &endpoint) const = 0;
     // Headers of the gateway's own response. retryAfter is given if the client should come back.
-    virtual httpio::Headers ownHeaders(const units::RequestId &request,
-                                       std::optional<units::Duration> retryAfter) const = 0;
+    virtual httpio::Headers gatewayHeaders(const units::RequestId &request,
+                                           std::optional<units::Duration> retryAfter) const = 0;
 };
 
 } // namespace monsoongrade::gateway
 
-#endif // MONSOONGRADE_GATEWAY_REQUESTDIALECT_H
+#endif // MONSOONGRADE_GATEWAY_HEADERCODEC_H
--- a/include/monsoongrade/gateway/sharedplacement.h
+++ b/include/monsoongrade/gateway/placementservice.h
@@ -1,11 +1,11 @@
-#ifndef MONSOONGRADE_GATEWAY_SHAREDPLACEMENT_H
-#define MONSOONGRADE_GATEWAY_SHAREDPLACEMENT_H
+#ifndef MONSOONGRADE_GATEWAY_PLACEMENTSERVICE_H
+#define MONSOONGRADE_GATEWAY_PLACEMENTSERVICE_H
 
 #include <monsoongrade/httpio/timers.h>
 #include <monsoongrade/observability/metrics.h>
+#include <monsoongrade/routing/coordinatorselector.h>
 #include <monsoongrade/routing/peertable.h>
-#include <monsoongrade/routing/placementdesk.h>
-#include <monsoongrade/routing/placingtrust.h>
+#include <monsoongrade/routing/requestplacer.h>
 
 #include <asio/ip/udp.hpp>
 
@@ -31,7 +31,7 @@
 // endpoint, and tells those that would take over what is cached where. If that host does not answer
 // two asks within milliseconds, this one decides alone with what it knows; nobody waits for a
 // failed host to be noticed.
-class SharedPlacement
+class PlacementService
 {
 public:
     using Placed = std::function<void(routing::PlacementTicket, routing::PlacementChoice)>;
@@ -42,8 +42,8 @@
         std::uint16_t port = 0; // the same on all hosts
     };
 
-    SharedPlacement(asio::io_context &io, httpio::Timers &timers, Settings settings,
-                    const routing::EndpointRoster &roster, observability::Metrics &metrics);
+    PlacementService(asio::io_context &io, httpio::Timers &timers, Settings settings,
+                     const routing::EndpointRegistry &registry, observability::Metrics &metrics);
 
     void start() { receive(); }
     // Hosts that may place for others, best first: of the whole fleet, and of this host's cell for
@@ -63,7 +63,7 @@
     std::uint64_t place(const routing::PlacementQuery &query, Placed placed);
     // The request that waits for its endpoint is over.
     void withdraw(std::uint64_t number);
-    void tell(const routing::PlacementTicket &ticket, routing::PlacementNews news);
+    void tell(const routing::PlacementTicket &ticket, routing::PlacementEvent news);
     // The host that chose the endpoint of the open request; this one's own IP if it did.
     const std::string &placedBy(const routing::PlacementTicket &ticket) const;
     // True if this host chose the endpoint of the open request itself.
@@ -116,13 +116,13 @@
     std::array<char, 4096> buffer_{};
     httpio::Timers &timers_;
     Settings settings_;
-    const routing::EndpointRoster &roster_;
+    const routing::EndpointRegistry &registry_;
     observability::Metrics &metrics_;
     std::vector<std::string> orderOfFleet_;
     std::vector<std::string> orderOfCell_;
-    routing::PlacementDesk desk_;
+    routing::RequestPlacer desk_;
     std::unordered_map<std::uint64_t, Ask> asks_;
-    routing::PlacingTrust trust_;
+    routing::CoordinatorSelector trust_;
     // Checks of waiting requests that are not answered yet, by host.
     std::unordered_map<std::string, httpio::Timers::Handle> openChecks_;
     // Who placed an open request, unless this host did.
@@ -136,4 +136,4 @@
 
 } // namespace monsoongrade::gateway
 
-#endif // MONSOONGRADE_GATEWAY_SHAREDPLACEMENT_H
+#endif // MONSOONGRADE_GATEWAY_PLACEMENTSERVICE_H
--- a/include/monsoongrade/gateway/quarantinekeeper.h
+++ b/include/monsoongrade/gateway/quarantinepersister.h
@@ -1,8 +1,8 @@
-#ifndef MONSOONGRADE_GATEWAY_QUARANTINEKEEPER_H
-#define MONSOONGRADE_GATEWAY_QUARANTINEKEEPER_H
+#ifndef MONSOONGRADE_GATEWAY_QUARANTINEPERSISTER_H
+#define MONSOONGRADE_GATEWAY_QUARANTINEPERSISTER_H
 
 #include <monsoongrade/httpio/timers.h>
-#include <monsoongrade/routing/crashledger.h>
+#include <monsoongrade/routing/crashtracker.h>
 #include <monsoongrade/routing/quarantinestore.h>
 
 #include <set>
@@ -12,25 +12,25 @@
 // Saves what is in quarantine, and reads it when the host starts: when all hosts are lost at once,
 // none is left to tell. Only hosts that saw an endpoint crash under a request save it, so the calls
 // to the store do not grow with the number of hosts.
-class QuarantineKeeper
+class QuarantinePersister
 {
 public:
-    QuarantineKeeper(httpio::Timers &timers, routing::CrashLedger &crashes,
-                     routing::QuarantineStore &store);
+    QuarantinePersister(httpio::Timers &timers, routing::CrashTracker &crashes,
+                        routing::QuarantineStore &store);
 
     void start();
 
 private:
     void read();
-    void onRead(const std::vector<routing::CrashNews> &kept);
+    void onRead(const std::vector<routing::CrashUpdate> &kept);
     void round();
 
     httpio::Timers &timers_;
-    routing::CrashLedger &crashes_;
+    routing::CrashTracker &crashes_;
     routing::QuarantineStore &store_;
     std::set<routing::RequestIdentity> saved_; // or being saved
 };
 
 } // namespace monsoongrade::gateway
 
-#endif // MONSOONGRADE_GATEWAY_QUARANTINEKEEPER_H
+#endif // MONSOONGRADE_GATEWAY_QUARANTINEPERSISTER_H
--- a/include/monsoongrade/gateway/trafficlog.h
+++ b/include/monsoongrade/gateway/ratelimitedlog.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_GATEWAY_TRAFFICLOG_H
-#define MONSOONGRADE_GATEWAY_TRAFFICLOG_H
+#ifndef MONSOONGRADE_GATEWAY_RATELIMITEDLOG_H
+#define MONSOONGRADE_GATEWAY_RATELIMITEDLOG_H
 
 #include <monsoongrade/httpio/timers.h>
 #include <monsoongrade/observability/log.h>
@@ -15,10 +15,10 @@
 
 // Log lines with a fixed budget per event and second, so that a burst of refusals costs a bounded
 // share of the processor. Suppressed lines are counted and reported once a second.
-class TrafficLog
+class RateLimitedLog
 {
 public:
-    explicit TrafficLog(httpio::Timers &timers);
+    explicit RateLimitedLog(httpio::Timers &timers);
 
     // True if a line of this event may be written now; false lines are counted.
     bool mayWrite(std::string_view event);
@@ -41,4 +41,4 @@
 
 } // namespace monsoongrade::gateway
 
-#endif // MONSOONGRADE_GATEWAY_TRAFFICLOG_H
+#endif // MONSOONGRADE_GATEWAY_RATELIMITEDLOG_H
--- a/include/monsoongrade/gateway/firstread.h
+++ b/include/monsoongrade/gateway/startupgate.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_GATEWAY_FIRSTREAD_H
-#define MONSOONGRADE_GATEWAY_FIRSTREAD_H
+#ifndef MONSOONGRADE_GATEWAY_STARTUPGATE_H
+#define MONSOONGRADE_GATEWAY_STARTUPGATE_H
 
 #include <monsoongrade/httpio/timers.h>
 
@@ -16,10 +16,10 @@
 // second for 200 of them. Refused, a request would use up its client's retry; here it waits for
 // what is under way. The wait is bounded from the start of the process, so a host that finds no
 // store refuses at once.
-class FirstRead
+class StartupGate
 {
 public:
-    explicit FirstRead(httpio::Timers &timers);
+    explicit StartupGate(httpio::Timers &timers);
 
     // A configuration is in force here, and a list of endpoints is known.
     void onConfiguration();
@@ -44,4 +44,4 @@
 
 } // namespace monsoongrade::gateway
 
-#endif // MONSOONGRADE_GATEWAY_FIRSTREAD_H
+#endif // MONSOONGRADE_GATEWAY_STARTUPGATE_H
--- a/include/monsoongrade/gateway/usagemeter.h
+++ b/include/monsoongrade/gateway/usagemeter.h
@@ -1,8 +1,8 @@
 #ifndef MONSOONGRADE_GATEWAY_USAGEMETER_H
 #define MONSOONGRADE_GATEWAY_USAGEMETER_H
 
-#include <monsoongrade/duties/counttelling.h>
 #include <monsoongrade/duties/usageledger.h>
+#include <monsoongrade/duties/usagepublisher.h>
 #include <monsoongrade/duties/walltimeestimate.h>
 #include <monsoongrade/httpio/timers.h>
 #include <monsoongrade/routing/peertable.h>
@@ -30,7 +30,7 @@
 
     // hosts: all that are live, this one included.
     UsageMeter(asio::io_context &io, httpio::Timers &timers, Settings settings,
-               std::function<std::vector<routing::PeerNews>()> hosts);
+               std::function<std::vector<routing::PeerUpdate>()> hosts);
 
     void start();
     // A request of the workspace began to run just now.
@@ -56,10 +56,10 @@
     std::array<char, 4096> buffer_{};
     httpio::Timers &timers_;
     Settings settings_;
-    std::function<std::vector<routing::PeerNews>()> hosts_;
+    std::function<std::vector<routing::PeerUpdate>()> hosts_;
     duties::UsageLedger ledger_;
     duties::WallTimeEstimate wallTime_;
-    duties::CountTelling telling_;
+    duties::UsagePublisher telling_;
 };
 
 } // namespace monsoongrade::gateway
--- a/include/monsoongrade/httpio/channel.h
+++ b/include/monsoongrade/httpio/channel.h
@@ -23,10 +23,10 @@
 };
 
 // Receives what happens to the request that a channel carries.
-class ChannelUser
+class ChannelListener
 {
 public:
-    virtual ~ChannelUser() = default;
+    virtual ~ChannelListener() = default;
     virtual void onResponseHead(const MessageHead &head) = 0;
     virtual void onResponseBody(std::string_view bytes) = 0;
     // The response is whole. The user decides before it returns: release or close the channel, or
@@ -51,7 +51,7 @@
     void connect(std::function<void(bool)> connected);
 
     // Sends a request. The user must live until its end, a failure, release() or close().
-    void send(std::string head, std::shared_ptr<const std::string> body, ChannelUser &user);
+    void send(std::string head, std::shared_ptr<const std::string> body, ChannelListener &user);
 
     // Ends the use of a channel whose response is whole. Returns true if it can carry another
     // request; onUnusable is then called if the server closes it, or sends bytes that no request
@@ -69,7 +69,7 @@
 
     // False if the server has already closed the connection or left unread bytes on it. Asks the
     // system, which may know of a close that this process has not handled yet.
-    bool looksIdle();
+    bool isStillIdle();
 
     bool isOpen() const { return open_; }
     const asio::ip::tcp::endpoint &address() const { return address_; }
@@ -94,7 +94,7 @@
     asio::ip::tcp::endpoint address_;
     MessageParser parser_;
     std::array<char, ReadBufferBytes> buffer_{};
-    ChannelUser *user_ = nullptr;
+    ChannelListener *user_ = nullptr;
     std::function<void()> onUnusable_;
     std::string head_;
     std::shared_ptr<const std::string> body_;
--- a/include/monsoongrade/httpio/reply.h
+++ b/include/monsoongrade/httpio/responsewriter.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_HTTPIO_REPLY_H
-#define MONSOONGRADE_HTTPIO_REPLY_H
+#ifndef MONSOONGRADE_HTTPIO_RESPONSEWRITER_H
+#define MONSOONGRADE_HTTPIO_RESPONSEWRITER_H
 
 #include <monsoongrade/httpio/messagehead.h>
 
@@ -12,10 +12,10 @@
 
 // The way back to the client of one request. Calls after the end, or after the client has gone,
 // do nothing. Not thread-safe: it lives on the server's thread.
-class Reply
+class ResponseWriter
 {
 public:
-    virtual ~Reply() = default;
+    virtual ~ResponseWriter() = default;
     // Sends a whole response.
     virtual void respond(int status, const Headers &headers, std::string_view body) = 0;
     // Starts a response in pieces; write() adds to it and end() completes it.
@@ -27,11 +27,11 @@
     // Bytes given to write() that the system has not taken yet.
     virtual std::size_t unsentBytes() const = 0;
     // Called once if the client closes its connection before the end of the response.
-    virtual void onClientGone(std::function<void()> handler) = 0;
+    virtual void onClientDisconnected(std::function<void()> handler) = 0;
     // Called each time that all bytes given so far have been taken by the system.
     virtual void onDrained(std::function<void()> handler) = 0;
 };
 
 } // namespace monsoongrade::httpio
 
-#endif // MONSOONGRADE_HTTPIO_REPLY_H
+#endif // MONSOONGRADE_HTTPIO_RESPONSEWRITER_H
--- a/include/monsoongrade/httpio/server.h
+++ b/include/monsoongrade/httpio/server.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_HTTPIO_SERVER_H
 #define MONSOONGRADE_HTTPIO_SERVER_H
 
-#include <monsoongrade/httpio/reply.h>
+#include <monsoongrade/httpio/responsewriter.h>
 #include <monsoongrade/httpio/serverlimits.h>
 #include <monsoongrade/httpio/timers.h>
 
@@ -22,7 +22,7 @@
     units::TimePoint receivedAt;
 };
 
-using RequestHandler = std::function<void(ServerRequest, std::shared_ptr<Reply>)>;
+using RequestHandler = std::function<void(ServerRequest, std::shared_ptr<ResponseWriter>)>;
 
 class ServerConnection;
 
--- a/include/monsoongrade/requests/answerrelay.h
+++ b/include/monsoongrade/requests/answerrelay.h
@@ -2,7 +2,7 @@
 #define MONSOONGRADE_REQUESTS_ANSWERRELAY_H
 
 #include <monsoongrade/http/httpresponder.h>
-#include <monsoongrade/httpio/wholeevents.h>
+#include <monsoongrade/httpio/sseeventbuffer.h>
 #include <monsoongrade/requests/refusal.h>
 #include <monsoongrade/requests/streamscanner.h>
 
@@ -33,12 +33,12 @@
     // Bytes of the answer; begin() comes first.
     void take(std::string_view bytes);
     // The piece behind the last event's end belongs to the answer after all.
-    void takeRest();
+    void takePartialEvent();
     // The call broke off within an event: the piece of it is dropped.
-    void dropRest() { events_.dropRest(); }
+    void discardPartialEvent() { events_.discardPartialEvent(); }
 
     // False while the caller has a piece of an unfinished event.
-    bool isAtBoundary() const { return events_.isAtBoundary(); }
+    bool isAtEventBoundary() const { return events_.isAtEventBoundary(); }
     // The stream's closing marker was passed on.
     bool isClosed() const { return scanner_.isClosed(); }
     std::int64_t events() const { return scanner_.events(); }
@@ -59,7 +59,7 @@
     http::HttpResponder &responder_;
     const bool isShared_;
     std::function<void(std::size_t)> left_;
-    httpio::WholeEvents events_;
+    httpio::SseEventBuffer events_;
     StreamScanner scanner_;
     bool begun_ = false;
     bool passesEvents_ = false;
--- a/include/monsoongrade/routing/admission.h
+++ b/include/monsoongrade/routing/admission.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_ROUTING_ADMISSION_H
 #define MONSOONGRADE_ROUTING_ADMISSION_H
 
-#include <monsoongrade/routing/requestfacts.h>
+#include <monsoongrade/routing/requestmetadata.h>
 #include <monsoongrade/routing/routetable.h>
 #include <monsoongrade/units/resultcode.h>
 
@@ -20,7 +20,7 @@
 // configuration is provably young enough to trust its keys. Without that, all but public routes
 // are refused as "come back later", never as unknown: a missing route or key may only be missing
 // here.
-Admission admit(const RouteTable *table, bool isFresh, const RequestFacts &facts,
+Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &facts,
                 std::string_view target);
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/callpace.h
+++ b/include/monsoongrade/routing/callpacer.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_CALLPACE_H
-#define MONSOONGRADE_ROUTING_CALLPACE_H
+#ifndef MONSOONGRADE_ROUTING_CALLPACER_H
+#define MONSOONGRADE_ROUTING_CALLPACER_H
 
 #include <monsoongrade/units/clock.h>
 
@@ -11,11 +11,11 @@
 // when a hundred endpoints register within seconds, it would be made a hundred times. The first few
 // calls go at once, so that a single change is passed on without delay; the others wait until the
 // interval allows them, and then bring all changes since.
-class CallPace
+class CallPacer
 {
 public:
     // atOnce: calls in a row without a pause. interval: between calls for good.
-    CallPace(int atOnce, units::Duration interval)
+    CallPacer(int atOnce, units::Duration interval)
         : interval_(interval)
         , saved_(interval * (atOnce - 1))
     {
@@ -39,4 +39,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_CALLPACE_H
+#endif // MONSOONGRADE_ROUTING_CALLPACER_H
--- a/include/monsoongrade/routing/placingtrust.h
+++ b/include/monsoongrade/routing/coordinatorselector.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_PLACINGTRUST_H
-#define MONSOONGRADE_ROUTING_PLACINGTRUST_H
+#ifndef MONSOONGRADE_ROUTING_COORDINATORSELECTOR_H
+#define MONSOONGRADE_ROUTING_COORDINATORSELECTOR_H
 
 #include <monsoongrade/units/clock.h>
 
@@ -15,18 +15,18 @@
 // answered nothing for 45 ms. A single overdue answer is not enough: a datagram may be lost, and a
 // host with a small share of a core is itself stopped for 25 ms at times and then finds several
 // answers overdue at once.
-class PlacingTrust
+class CoordinatorSelector
 {
 public:
     // The host answered something.
     void onAnswer(const std::string &host);
     // An answer of the host is overdue; asked: when it was asked. True if the host is left out from
     // now on.
-    bool onMissed(const std::string &host, units::TimePoint asked, units::TimePoint now);
+    bool onAnswerOverdue(const std::string &host, units::TimePoint asked, units::TimePoint now);
     // The host to ask: the first of the order that is not left out. Empty if that is this host or
     // there is none.
-    std::string hostToAsk(const std::vector<std::string> &order, const std::string &own,
-                          units::TimePoint now) const;
+    std::string selectHost(const std::vector<std::string> &order, const std::string &own,
+                           units::TimePoint now) const;
 
 private:
     struct Trust
@@ -40,4 +40,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_PLACINGTRUST_H
+#endif // MONSOONGRADE_ROUTING_COORDINATORSELECTOR_H
--- a/include/monsoongrade/routing/crashledger.h
+++ b/include/monsoongrade/routing/crashtracker.h
@@ -1,7 +1,7 @@
-#ifndef MONSOONGRADE_ROUTING_CRASHLEDGER_H
-#define MONSOONGRADE_ROUTING_CRASHLEDGER_H
+#ifndef MONSOONGRADE_ROUTING_CRASHTRACKER_H
+#define MONSOONGRADE_ROUTING_CRASHTRACKER_H
 
-#include <monsoongrade/routing/crashnews.h>
+#include <monsoongrade/routing/crashupdate.h>
 #include <monsoongrade/routing/recentcompletions.h>
 
 #include <cstddef>
@@ -22,43 +22,43 @@
 // many callers may send the same request, and the loss of some endpoints at once must not put it in
 // quarantine, where no attempt could clear it. A connection that broke for another reason counts
 // until its endpoint answers something.
-class CrashLedger
+class CrashTracker
 {
 public:
     // Crashes of different endpoints after which a request is quarantined.
     static constexpr std::size_t CrashesToQuarantine = 3;
 
     // The endpoint crashed while it ran the request for this host.
-    void onCrash(const RequestIdentity &request, const EndpointStart &endpoint,
+    void onCrash(const RequestIdentity &request, const EndpointInstance &endpoint,
                  units::TimePoint now);
     // The request was answered whole at this host.
     void onCompleted(const RequestIdentity &request, units::TimePoint now);
     // The endpoint answered this host something that was sent at this time.
-    void onAnswered(const EndpointStart &endpoint, units::TimePoint sentAt);
+    void onAnswered(const EndpointInstance &endpoint, units::TimePoint sentAt);
     // Another host's news. It may come repeatedly and in any order.
-    void hear(const CrashNews &news, units::TimePoint now);
+    void receive(const CrashUpdate &news, units::TimePoint now);
 
     // Time until the request may run again; none if it is not in quarantine. The time doubles with
     // each further crash.
-    std::optional<units::Duration> quarantineLeft(const RequestIdentity &request,
-                                                  units::TimePoint now) const;
-    std::size_t quarantined(units::TimePoint now) const;
+    std::optional<units::Duration> quarantineRemaining(const RequestIdentity &request,
+                                                       units::TimePoint now) const;
+    std::size_t quarantinedCount(units::TimePoint now) const;
     // Quarantined requests under which an endpoint crashed at this host.
-    std::vector<RequestIdentity> quarantinedHere(units::TimePoint now) const;
-    std::vector<CrashNews> crashesOf(const RequestIdentity &request, units::TimePoint now) const;
+    std::vector<RequestIdentity> locallyQuarantined(units::TimePoint now) const;
+    std::vector<CrashUpdate> crashesOf(const RequestIdentity &request, units::TimePoint now) const;
     // Requests that are known to have been running when an endpoint crashed.
     std::size_t size() const { return records_.size(); }
 
     // What to tell other hosts in this round, in one message: what is new, some rounds long, since
     // messages may be lost; beside it one quarantined request in turn, for hosts that were away.
-    std::vector<CrashNews> takeNews(std::size_t maxItems, units::TimePoint now);
+    std::vector<CrashUpdate> takeUpdates(std::size_t maxItems, units::TimePoint now);
     // All crashes of quarantined requests, up to a number, for a host that has just started.
-    std::vector<CrashNews> quarantineNews(std::size_t maxItems, units::TimePoint now) const;
+    std::vector<CrashUpdate> quarantineNews(std::size_t maxItems, units::TimePoint now) const;
 
 private:
     struct Crash
     {
-        EndpointStart endpoint;
+        EndpointInstance endpoint;
         units::TimePoint at;
     };
     // An endpoint that is in some record.
@@ -77,26 +77,26 @@
     using Records = std::map<RequestIdentity, Record>;
     struct Telling
     {
-        CrashNews news;
+        CrashUpdate news;
         units::TimePoint at;
         int roundsLeft = 0;
     };
 
     static std::optional<units::TimePoint> quarantineEnd(const Record &record);
     static bool isQuarantined(const Record &record, units::TimePoint now);
-    static void appendCrashes(const Records::value_type &record, std::vector<CrashNews> &news,
+    static void appendCrashes(const Records::value_type &record, std::vector<CrashUpdate> &news,
                               units::TimePoint now);
-    bool isCleared(const CrashNews &crash, units::TimePoint at, units::TimePoint now);
-    bool learn(const CrashNews &news, units::TimePoint at, units::TimePoint now);
-    bool addCrash(const CrashNews &news, units::TimePoint at, units::TimePoint now);
-    bool acquit(const EndpointStart &endpoint, units::TimePoint sentAt);
+    bool isCleared(const CrashUpdate &crash, units::TimePoint at, units::TimePoint now);
+    bool learn(const CrashUpdate &news, units::TimePoint at, units::TimePoint now);
+    bool addCrash(const CrashUpdate &news, units::TimePoint at, units::TimePoint now);
+    bool acquit(const EndpointInstance &endpoint, units::TimePoint sentAt);
     bool complete(const RequestIdentity &request, units::TimePoint at);
-    void tellLater(const CrashNews &news, units::TimePoint at);
+    void tellLater(const CrashUpdate &news, units::TimePoint at);
     void makeRoom(units::TimePoint now);
     void forgetOld(units::TimePoint now);
 
     Records records_;
-    std::map<EndpointStart, Suspect> suspects_;
+    std::map<EndpointInstance, Suspect> suspects_;
     RecentCompletions completions_;
     std::deque<Telling> fresh_;
     RequestIdentity lastRepeated_;
@@ -105,4 +105,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_CRASHLEDGER_H
+#endif // MONSOONGRADE_ROUTING_CRASHTRACKER_H
--- a/include/monsoongrade/routing/crashnews.h
+++ b/include/monsoongrade/routing/crashupdate.h
@@ -1,7 +1,7 @@
-#ifndef MONSOONGRADE_ROUTING_CRASHNEWS_H
-#define MONSOONGRADE_ROUTING_CRASHNEWS_H
+#ifndef MONSOONGRADE_ROUTING_CRASHUPDATE_H
+#define MONSOONGRADE_ROUTING_CRASHUPDATE_H
 
-#include <monsoongrade/routing/endpointstart.h>
+#include <monsoongrade/routing/endpointinstance.h>
 #include <monsoongrade/routing/requestidentity.h>
 #include <monsoongrade/units/clock.h>
 
@@ -10,7 +10,7 @@
 namespace monsoongrade::routing {
 
 // What hosts tell each other of a request under which an endpoint crashed.
-struct CrashNews
+struct CrashUpdate
 {
     enum class Kind : std::uint8_t {
         Crashed, // the endpoint crashed while it ran the request
@@ -20,10 +20,10 @@
 
     Kind kind = Kind::Crashed;
     RequestIdentity request; // not of EndpointAnswered
-    EndpointStart endpoint; // not of Completed
+    EndpointInstance endpoint; // not of Completed
     units::Duration age{}; // since it happened; of EndpointAnswered: since it was sent
 };
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_CRASHNEWS_H
+#endif // MONSOONGRADE_ROUTING_CRASHUPDATE_H
--- a/include/monsoongrade/routing/endpointhealth.h
+++ b/include/monsoongrade/routing/endpointhealth.h
@@ -28,7 +28,7 @@
     // Marks the one request that is sent at the end of a pause.
     void onSent(units::TimePoint now);
     // Share of recent requests that failed, 0 to 1.
-    double failureShare(units::TimePoint now) const;
+    double failureRate(units::TimePoint now) const;
     // Recent latency as a multiple of what was expected; 1 is normal.
     double slowness(units::TimePoint now) const;
 
--- a/include/monsoongrade/routing/endpointstart.h
+++ b/include/monsoongrade/routing/endpointinstance.h
@@ -1,31 +1,31 @@
-#ifndef MONSOONGRADE_ROUTING_ENDPOINTSTART_H
-#define MONSOONGRADE_ROUTING_ENDPOINTSTART_H
+#ifndef MONSOONGRADE_ROUTING_ENDPOINTINSTANCE_H
+#define MONSOONGRADE_ROUTING_ENDPOINTINSTANCE_H
 
 #include <monsoongrade/routing/discoveredendpoint.h>
 
 namespace monsoongrade::routing {
 
 // One run of an endpoint's process.
-struct EndpointStart
+struct EndpointInstance
 {
     units::EndpointId id;
     Incarnation incarnation;
 
-    friend bool operator==(const EndpointStart &a, const EndpointStart &b)
+    friend bool operator==(const EndpointInstance &a, const EndpointInstance &b)
     {
         return a.id == b.id && a.incarnation == b.incarnation;
     }
-    friend bool operator<(const EndpointStart &a, const EndpointStart &b)
+    friend bool operator<(const EndpointInstance &a, const EndpointInstance &b)
     {
         return a.id != b.id ? a.id < b.id : a.incarnation < b.incarnation;
     }
 };
 
-inline EndpointStart startOf(const DiscoveredEndpoint &endpoint)
+inline EndpointInstance instanceOf(const DiscoveredEndpoint &endpoint)
 {
     return {endpoint.id, endpoint.incarnation};
 }
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_ENDPOINTSTART_H
+#endif // MONSOONGRADE_ROUTING_ENDPOINTINSTANCE_H
--- a/include/monsoongrade/routing/endpointpace.h
+++ b/include/monsoongrade/routing/endpointratelimiter.h
@@ -1,7 +1,7 @@
-#ifndef MONSOONGRADE_ROUTING_ENDPOINTPACE_H
-#define MONSOONGRADE_ROUTING_ENDPOINTPACE_H
+#ifndef MONSOONGRADE_ROUTING_ENDPOINTRATELIMITER_H
+#define MONSOONGRADE_ROUTING_ENDPOINTRATELIMITER_H
 
-#include <monsoongrade/routing/limitnews.h>
+#include <monsoongrade/routing/ratelimitupdate.h>
 
 #include <optional>
 
@@ -11,7 +11,7 @@
 // the limit: all of it where it places for all hosts, an equal part where each places for itself.
 // Hosts with a part take turns, and a turn that is not used is lost: parts that were saved up would
 // be used at the same moment, as when the host that places for all is lost.
-class EndpointPace
+class EndpointRateLimiter
 {
 public:
     // The endpoint's latest word; none: no limit. phase: 0 to 1, spread evenly over the hosts, so
@@ -38,4 +38,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_ENDPOINTPACE_H
+#endif // MONSOONGRADE_ROUTING_ENDPOINTRATELIMITER_H
--- a/include/monsoongrade/routing/endpointroster.h
+++ b/include/monsoongrade/routing/endpointregistry.h
@@ -1,7 +1,7 @@
-#ifndef MONSOONGRADE_ROUTING_ENDPOINTROSTER_H
-#define MONSOONGRADE_ROUTING_ENDPOINTROSTER_H
+#ifndef MONSOONGRADE_ROUTING_ENDPOINTREGISTRY_H
+#define MONSOONGRADE_ROUTING_ENDPOINTREGISTRY_H
 
-#include <monsoongrade/routing/endpointstart.h>
+#include <monsoongrade/routing/endpointinstance.h>
 #include <monsoongrade/routing/endpointstatus.h>
 #include <monsoongrade/routing/fleetdivision.h>
 #include <monsoongrade/units/workcount.h>
@@ -17,14 +17,14 @@
 
 // The endpoints that requests may go to, as the platform's store lists them. Knows nothing of
 // how the list is read.
-class EndpointRoster
+class EndpointRegistry
 {
 public:
     using Status = std::shared_ptr<EndpointStatus>;
     // Called when an endpoint stops taking new requests, so that idle connections can be closed.
     using OnLeaving = std::function<void(const EndpointStatus &)>;
 
-    explicit EndpointRoster(OnLeaving onLeaving = {});
+    explicit EndpointRegistry(OnLeaving onLeaving = {});
 
     // The whole list, read just now. An endpoint that is not in it is gone. While entries may be
     // missing only because the store was away, missing ones are kept until keepMissingUntil.
@@ -36,21 +36,21 @@
     void remove(const units::EndpointId &id, units::TimePoint now,
                 units::TimePoint keepMissingUntil);
     // Drops the kept entries whose time is over.
-    void dropMissing(units::TimePoint now);
+    void removeExpired(units::TimePoint now);
 
     // From now on only the endpoints of this cell are available.
-    void divide(FleetDivision division, std::uint32_t ownCell);
+    void setDivision(FleetDivision division, std::uint32_t ownCell);
     const FleetDivision &division() const { return division_; }
 
     // Endpoints of the pool that take new requests by the store's word and belong to this host's
-    // cell, in the order of their ids. Valid until the next change of the roster.
+    // cell, in the order of their ids. Valid until the next change of the registry.
     const std::vector<Status> &available(const units::PoolName &pool) const;
     // Null if no such endpoint is available.
     Status findAvailable(const units::EndpointId &id) const;
     // All of the pool's endpoints that are listed, leaving ones too.
     std::vector<DiscoveredEndpoint> listed(const units::PoolName &pool) const;
     // Null if this process of the endpoint is not listed.
-    Status find(const EndpointStart &endpoint) const;
+    Status find(const EndpointInstance &endpoint) const;
     std::size_t size() const { return entries_.size(); }
     // Listed endpoints of each pool that has any.
     const std::map<std::string, std::size_t> &sizes() const { return sizes_; }
@@ -87,4 +87,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_ENDPOINTROSTER_H
+#endif // MONSOONGRADE_ROUTING_ENDPOINTREGISTRY_H
--- a/include/monsoongrade/routing/failuredecision.h
+++ b/include/monsoongrade/routing/failuredecision.h
@@ -16,17 +16,17 @@
     int sends = 0; // endpoints that have had the request
     int maxAttempts = 1;
     bool timedOut = false; // the time for the request is over
-    bool endpointLeft = false; // another endpoint is there to take the request
-    bool isQuarantined = false; // endpoints crashed while they ran it, see CrashLedger
-    bool budgetLeft = false; // the shared retry budget allows one more send
+    bool hasAlternativeEndpoint = false; // another endpoint is there to take the request
+    bool isQuarantined = false; // endpoints crashed while they ran it, see CrashTracker
+    bool hasRetryBudget = false; // the shared retry budget allows one more send
 };
 
 enum class NextStep {
     SendAgain,
     RefuseNotRun, // "did not run and never will": the client may repeat it
-    AnswerUnknown, // may have run
-    AnswerTimeout, // may have run, and the time is over
-    BreakOff, // the response has begun and can't be completed
+    RespondOutcomeUnknown, // may have run
+    RespondTimeout, // may have run, and the time is over
+    AbortResponse, // the response has begun and can't be completed
 };
 
 // Decides what follows a failed attempt. Only proof that nothing ran permits a refusal that says
--- a/include/monsoongrade/routing/freshnesslease.h
+++ b/include/monsoongrade/routing/freshnesslease.h
@@ -20,7 +20,7 @@
     }
 
     // The store has shown that no change before this moment is missing here.
-    void prove(units::TimePoint at)
+    void renew(units::TimePoint at)
     {
         provenAt_ = isProven_ ? std::max(provenAt_, at) : at;
         isProven_ = true;
--- a/include/monsoongrade/routing/gossiprounds.h
+++ b/include/monsoongrade/routing/gossipplanner.h
@@ -1,8 +1,8 @@
-#ifndef MONSOONGRADE_ROUTING_GOSSIPROUNDS_H
-#define MONSOONGRADE_ROUTING_GOSSIPROUNDS_H
+#ifndef MONSOONGRADE_ROUTING_GOSSIPPLANNER_H
+#define MONSOONGRADE_ROUTING_GOSSIPPLANNER_H
 
+#include <monsoongrade/routing/peerfailuredetector.h>
 #include <monsoongrade/routing/peertable.h>
-#include <monsoongrade/routing/peerwatch.h>
 
 #include <random>
 #include <string>
@@ -14,33 +14,33 @@
 // in one do not grow with the fleet.
 //
 // In a small fleet a message tells of as many hosts as it holds, and a host whose news grow old
-// counts as lost. In a large one the hosts watch each other, see PeerWatch, and a message tells of
-// changes first.
-class GossipRounds
+// counts as lost. In a large one the hosts watch each other, see PeerFailureDetector, and a message
+// tells of changes first.
+class GossipPlanner
 {
 public:
-    GossipRounds(std::string ownIp, std::uint32_t seed);
+    GossipPlanner(std::string ownIp, std::uint32_t seed);
 
     struct Round
     {
-        std::vector<std::string> addressees;
-        std::vector<PeerNews> news;
-        std::vector<std::string> toProbe;
+        std::vector<std::string> recipients;
+        std::vector<PeerUpdate> news;
+        std::vector<std::string> probeTargets;
     };
     // What to send now. Hosts that have answered no probe are noted as lost in the table.
     Round next(PeerTable &table, units::TimePoint now);
     // A message of the host itself arrived just now.
     void onHeartbeat(const std::string &ip, units::TimePoint now) { watch_.onHeartbeat(ip, now); }
     // What a host is told that has just started: who reads the store for others, and some hosts.
-    std::vector<PeerNews> newsForNewcomer(const PeerTable &table, units::TimePoint now);
+    std::vector<PeerUpdate> newsForJoiningHost(const PeerTable &table, units::TimePoint now);
 
 private:
-    std::vector<std::string> addressees(const PeerTable &table, units::TimePoint now);
-    std::vector<PeerNews> news(PeerTable &table, units::TimePoint now);
+    std::vector<std::string> recipients(const PeerTable &table, units::TimePoint now);
+    std::vector<PeerUpdate> news(PeerTable &table, units::TimePoint now);
     std::vector<std::string> watch(PeerTable &table, units::TimePoint now);
 
     std::string ownIp_;
-    PeerWatch watch_;
+    PeerFailureDetector watch_;
     std::vector<std::string> watchers_; // of this host
     std::size_t silent_ = 0; // watched hosts whose heartbeats are missed
     std::minstd_rand random_;
@@ -48,4 +48,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_GOSSIPROUNDS_H
+#endif // MONSOONGRADE_ROUTING_GOSSIPPLANNER_H
--- a/include/monsoongrade/routing/peerwatch.h
+++ b/include/monsoongrade/routing/peerfailuredetector.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_PEERWATCH_H
-#define MONSOONGRADE_ROUTING_PEERWATCH_H
+#ifndef MONSOONGRADE_ROUTING_PEERFAILUREDETECTOR_H
+#define MONSOONGRADE_ROUTING_PEERFAILUREDETECTOR_H
 
 #include <monsoongrade/units/clock.h>
 
@@ -23,12 +23,12 @@
 // Tells which of the hosts that this one watches are lost. In a large fleet news of most hosts
 // comes through others and is seconds old, so that its age says nothing about a host; here a few
 // hosts expect each host's heartbeats, and declare it lost when they stop.
-class PeerWatch
+class PeerFailureDetector
 {
 public:
     struct Judgement
     {
-        std::vector<std::string> toProbe; // have missed heartbeats
+        std::vector<std::string> probeTargets; // have missed heartbeats
         std::vector<std::string> lost; // have not answered probes either
     };
 
@@ -45,4 +45,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_PEERWATCH_H
+#endif // MONSOONGRADE_ROUTING_PEERFAILUREDETECTOR_H
--- a/include/monsoongrade/routing/placementquery.h
+++ b/include/monsoongrade/routing/placementquery.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_ROUTING_PLACEMENTQUERY_H
 #define MONSOONGRADE_ROUTING_PLACEMENTQUERY_H
 
-#include <monsoongrade/routing/requestfacts.h>
+#include <monsoongrade/routing/requestmetadata.h>
 #include <monsoongrade/routing/route.h>
 #include <monsoongrade/routing/trafficpool.h>
 
@@ -29,21 +29,21 @@
     bool poolServesShortPauses = false;
     // Endpoints that already had this request and are not to get it again.
     std::vector<units::EndpointId> tried;
-    units::FailureDomain askersDomain;
+    units::FailureDomain requesterDomain;
     // Until the first event should be there, and until the request is given up; from the asking.
     units::Duration targetIn{};
-    units::Duration givenUpIn{};
+    units::Duration expiresIn{};
     // The asking host can wait for an endpoint; without, the request is placed at once.
     bool mayWait = false;
     // This host decides without those of the others in view.
-    bool isAlone = false;
+    bool isLocalFallback = false;
 };
 
 // The query for a request of which nothing has been tried yet. pool: null if the configuration does
 // not describe it.
-PlacementQuery placementQuery(const RequestFacts &facts, const Route &route,
+PlacementQuery placementQuery(const RequestMetadata &facts, const Route &route,
                               const units::PoolName &poolName, const TrafficPool *pool,
-                              units::Tier tier, const units::FailureDomain &askersDomain);
+                              units::Tier tier, const units::FailureDomain &requesterDomain);
 
 } // namespace monsoongrade::routing
 
--- a/include/monsoongrade/routing/placinghosts.h
+++ b/include/monsoongrade/routing/placinghosts.h
@@ -16,7 +16,8 @@
 // hosts get the same order without asking anybody. A restarted host goes to the end, since it knows
 // nothing of what is cached where; the second and third learn it from the first, and take over.
 // work counts the comparisons of hosts.
-std::vector<std::string> placingOrder(const std::vector<PeerNews> &hosts, units::WorkCount &work);
+std::vector<std::string> rankCoordinators(const std::vector<PeerUpdate> &hosts,
+                                          units::WorkCount &work);
 
 } // namespace monsoongrade::routing
 
--- a/include/monsoongrade/routing/readqueue.h
+++ b/include/monsoongrade/routing/prefillqueue.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_READQUEUE_H
-#define MONSOONGRADE_ROUTING_READQUEUE_H
+#ifndef MONSOONGRADE_ROUTING_PREFILLQUEUE_H
+#define MONSOONGRADE_ROUTING_PREFILLQUEUE_H
 
 #include <monsoongrade/routing/placementquery.h>
 #include <monsoongrade/routing/placementticket.h>
@@ -17,7 +17,7 @@
 // Requests with long reads that wait for an endpoint. The order is by tier; within a tier those
 // that can still be on time go first, by the time at which they are due. A request that is late
 // anyway would else hold up one that is not, and make it late too. A request's size plays no part.
-class ReadQueue
+class PrefillQueue
 {
 public:
     struct Waiting
@@ -66,4 +66,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_READQUEUE_H
+#endif // MONSOONGRADE_ROUTING_PREFILLQUEUE_H
--- a/include/monsoongrade/routing/readspeed.h
+++ b/include/monsoongrade/routing/prefillrate.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_READSPEED_H
-#define MONSOONGRADE_ROUTING_READSPEED_H
+#ifndef MONSOONGRADE_ROUTING_PREFILLRATE_H
+#define MONSOONGRADE_ROUTING_PREFILLRATE_H
 
 #include <monsoongrade/units/clock.h>
 #include <monsoongrade/units/ids.h>
@@ -19,7 +19,7 @@
 // slow. Failing endpoints can mislead it only so far: one read counts as at most MaxTimesExpected
 // as long as expected, the result stays between MinTokensPerMs and MaxTokensPerMs, and without
 // reads for a while the start value holds again.
-class ReadSpeed
+class PrefillRate
 {
 public:
     // Before enough is known. Between the two pools known.
@@ -51,19 +51,19 @@
 };
 
 // The read speeds of all pools.
-class ReadSpeeds
+class PrefillRates
 {
 public:
     // The start value for a pool of which nothing is known.
-    const ReadSpeed &of(const units::PoolName &pool) const;
+    const PrefillRate &of(const units::PoolName &pool) const;
     void onRead(const units::PoolName &pool, std::int64_t tokens, units::Duration took,
                 units::TimePoint now);
 
 private:
-    ReadSpeed unknown_;
-    std::unordered_map<std::string, ReadSpeed> pools_;
+    PrefillRate unknown_;
+    std::unordered_map<std::string, PrefillRate> pools_;
 };
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_READSPEED_H
+#endif // MONSOONGRADE_ROUTING_PREFILLRATE_H
--- a/include/monsoongrade/routing/prefixmemory.h
+++ b/include/monsoongrade/routing/prefixcacheindex.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_PREFIXMEMORY_H
-#define MONSOONGRADE_ROUTING_PREFIXMEMORY_H
+#ifndef MONSOONGRADE_ROUTING_PREFIXCACHEINDEX_H
+#define MONSOONGRADE_ROUTING_PREFIXCACHEINDEX_H
 
 #include <monsoongrade/routing/discoveredendpoint.h>
 
@@ -10,7 +10,7 @@
 namespace monsoongrade::routing {
 
 // Remembers which endpoints have lately been sent a shared prompt part.
-class PrefixMemory
+class PrefixCacheIndex
 {
 public:
     struct Holder
@@ -41,4 +41,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_PREFIXMEMORY_H
+#endif // MONSOONGRADE_ROUTING_PREFIXCACHEINDEX_H
--- a/include/monsoongrade/routing/limitnews.h
+++ b/include/monsoongrade/routing/ratelimitupdate.h
@@ -1,7 +1,7 @@
-#ifndef MONSOONGRADE_ROUTING_LIMITNEWS_H
-#define MONSOONGRADE_ROUTING_LIMITNEWS_H
+#ifndef MONSOONGRADE_ROUTING_RATELIMITUPDATE_H
+#define MONSOONGRADE_ROUTING_RATELIMITUPDATE_H
 
-#include <monsoongrade/routing/endpointstart.h>
+#include <monsoongrade/routing/endpointinstance.h>
 #include <monsoongrade/units/clock.h>
 
 #include <optional>
@@ -11,9 +11,9 @@
 using RequestsPerSecond = double;
 
 // What hosts tell each other of the limits that endpoints name in their answers.
-struct LimitNews
+struct RateLimitUpdate
 {
-    EndpointStart endpoint;
+    EndpointInstance endpoint;
     // Taken from all hosts together; none: the endpoint answered without a limit.
     std::optional<RequestsPerSecond> limit;
     units::Duration age{}; // since the answer
@@ -21,4 +21,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_LIMITNEWS_H
+#endif // MONSOONGRADE_ROUTING_RATELIMITUPDATE_H
--- a/include/monsoongrade/routing/requestfacts.h
+++ b/include/monsoongrade/routing/requestmetadata.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_REQUESTFACTS_H
-#define MONSOONGRADE_ROUTING_REQUESTFACTS_H
+#ifndef MONSOONGRADE_ROUTING_REQUESTMETADATA_H
+#define MONSOONGRADE_ROUTING_REQUESTMETADATA_H
 
 #include <monsoongrade/units/clock.h>
 #include <monsoongrade/units/ids.h>
@@ -19,7 +19,7 @@
 };
 
 // What one request says about itself, decoded from its headers.
-struct RequestFacts
+struct RequestMetadata
 {
     units::RequestId id; // one client attempt; empty if the client gave none
     std::string host; // lower case, without port
@@ -33,4 +33,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_REQUESTFACTS_H
+#endif // MONSOONGRADE_ROUTING_REQUESTMETADATA_H
--- a/include/monsoongrade/routing/placementdesk.h
+++ b/include/monsoongrade/routing/requestplacer.h
@@ -1,12 +1,12 @@
-#ifndef MONSOONGRADE_ROUTING_PLACEMENTDESK_H
-#define MONSOONGRADE_ROUTING_PLACEMENTDESK_H
+#ifndef MONSOONGRADE_ROUTING_REQUESTPLACER_H
+#define MONSOONGRADE_ROUTING_REQUESTPLACER_H
 
 #include <monsoongrade/routing/endpointloads.h>
-#include <monsoongrade/routing/endpointroster.h>
+#include <monsoongrade/routing/endpointregistry.h>
 #include <monsoongrade/routing/placementquery.h>
-#include <monsoongrade/routing/prefixmemory.h>
-#include <monsoongrade/routing/readqueue.h>
-#include <monsoongrade/routing/readspeed.h>
+#include <monsoongrade/routing/prefillqueue.h>
+#include <monsoongrade/routing/prefillrate.h>
+#include <monsoongrade/routing/prefixcacheindex.h>
 #include <monsoongrade/routing/shortpausereserve.h>
 
 #include <map>
@@ -25,7 +25,7 @@
 };
 
 // What happened to a placed request.
-enum class PlacementNews : std::uint8_t {
+enum class PlacementEvent : std::uint8_t {
     FirstEvent, // its prompt has been read
     Completed,
     EndpointFailed, // ended by a broken connection
@@ -35,12 +35,12 @@
 
 struct PlacementChoice
 {
-    EndpointRoster::Status endpoint; // null if no endpoint accepts the request now
+    EndpointRegistry::Status endpoint; // null if no endpoint accepts the request now
     // Prompt tokens that the endpoint has to read before its first event, as far as known here.
     std::int64_t tokensToRead = 0;
     bool isWaiting = false; // no choice yet: a later call of placeWaiting() makes it
     // Refused because of a long queue: when its client should come back.
-    std::optional<units::Duration> comeBackIn;
+    std::optional<units::Duration> retryDelay;
 };
 
 // Chooses endpoints for requests and keeps count of what it has placed on each.
@@ -67,7 +67,7 @@
 // Other pools: the fewest open requests, weighed by how often and how late the endpoint has
 // answered lately; among equals the asking host's own failure domain, because bytes between
 // domains cost.
-class PlacementDesk
+class RequestPlacer
 {
 public:
     // This host's part of the limit of an endpoint where each host places for itself, 0 to 1.
@@ -75,12 +75,12 @@
     // Places a request. The choice counts as open until news of its end, or until it is too old. A
     // ticket that is open or waits gets the same answer again.
     PlacementChoice place(const PlacementTicket &ticket, const PlacementQuery &query,
-                          const std::vector<EndpointRoster::Status> &available,
+                          const std::vector<EndpointRegistry::Status> &available,
                           units::TimePoint now);
     // Places those waiting requests for which there is room now, the most urgent first, and refuses
     // those that have become too late.
     std::vector<std::pair<PlacementTicket, PlacementChoice>>
-    placeWaiting(const EndpointRoster &roster, units::TimePoint now);
+    placeWaiting(const EndpointRegistry &registry, units::TimePoint now);
     bool hasWaiting() const { return !waiting_.isEmpty(); }
     bool isWaiting(const PlacementTicket &ticket) const { return waiting_.find(ticket) != nullptr; }
     // The choice for an open request that was placed, in case the word of it was lost.
@@ -90,16 +90,16 @@
     // placed here. Silence towards one host counts only if no other host got anything either
     // since the request was placed: in an overload a first event takes longer than the silence
     // that means a lost endpoint. News for an unknown ticket is ignored.
-    void hear(const PlacementTicket &ticket, PlacementNews news, units::TimePoint now);
+    void onEvent(const PlacementTicket &ticket, PlacementEvent news, units::TimePoint now);
     // True if place() would find an endpoint.
     bool hasEndpoint(const PlacementQuery &query,
-                     const std::vector<EndpointRoster::Status> &available,
+                     const std::vector<EndpointRegistry::Status> &available,
                      units::TimePoint now) const;
 
     // Parts that were placed lately and not told to the successors for a while.
-    std::vector<CachedPart> takeNewParts() { return std::exchange(newParts_, {}); }
+    std::vector<CachedPart> takeNewCachedParts() { return std::exchange(newParts_, {}); }
     // Another host has placed the part.
-    void learn(const CachedPart &part, units::TimePoint now);
+    void addCachedPart(const CachedPart &part, units::TimePoint now);
 
     std::size_t openRequests() const { return placed_.size(); }
     int openRequests(const EndpointStatus &endpoint) const;
@@ -108,14 +108,14 @@
 private:
     struct Placed
     {
-        EndpointRoster::Status endpoint;
+        EndpointRegistry::Status endpoint;
         std::int64_t tokensToRead = 0;
         units::TimePoint at;
         bool needsShortPauses = false;
         bool isOnlyRead = false; // its endpoint had nothing else to read when it was placed
         bool isStreaming = false; // had its first event
     };
-    using Candidates = std::vector<const EndpointRoster::Status *>;
+    using Candidates = std::vector<const EndpointRegistry::Status *>;
 
     PlacementChoice queueOrRefuse(const PlacementTicket &ticket, const PlacementQuery &query,
                                   PlacementChoice choice, std::size_t endpoints,
@@ -123,14 +123,14 @@
     PlacementChoice commit(const PlacementTicket &ticket, const PlacementQuery &query,
                            PlacementChoice choice, units::TimePoint now);
     PlacementChoice chooseForModel(const PlacementQuery &query,
-                                   const std::vector<EndpointRoster::Status> &available,
+                                   const std::vector<EndpointRegistry::Status> &available,
                                    units::TimePoint now);
     bool hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxToRead) const;
     Candidates candidatesFor(const PlacementQuery &query,
-                             const std::vector<EndpointRoster::Status> &available,
+                             const std::vector<EndpointRegistry::Status> &available,
                              units::TimePoint now);
     PlacementChoice chooseForPlain(const PlacementQuery &query,
-                                   const std::vector<EndpointRoster::Status> &available,
+                                   const std::vector<EndpointRegistry::Status> &available,
                                    units::TimePoint now) const;
     static const EndpointStatus *firstByHash(const PlacementQuery &query,
                                              const Candidates &candidates);
@@ -144,12 +144,12 @@
     double shareFor(const PlacementQuery &query) const;
 
     double ownShare_ = 1;
-    PrefixMemory memory_;
+    PrefixCacheIndex memory_;
     std::vector<CachedPart> newParts_;
     EndpointLoads loads_;
     std::map<PlacementTicket, Placed> placed_;
-    ReadSpeeds readSpeeds_;
-    ReadQueue waiting_;
+    PrefillRates readSpeeds_;
+    PrefillQueue waiting_;
     WaitForecaster forecaster_;
     ShortPauseReserve reserve_;
     units::TimePoint nextCleaning_{};
@@ -157,4 +157,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_PLACEMENTDESK_H
+#endif // MONSOONGRADE_ROUTING_REQUESTPLACER_H
--- a/include/monsoongrade/routing/retryallowance.h
+++ b/include/monsoongrade/routing/retryallowance.h
@@ -8,7 +8,7 @@
 namespace monsoongrade::routing {
 
 // Bound on repeats over a sliding window: share x requests + fixed, for all hosts together.
-struct RetryBound
+struct RetryLimit
 {
     double share = 0.2;
     double fixed = 50;
@@ -24,12 +24,12 @@
     // A first send to the pool.
     void onRequest(units::TimePoint now);
     // True if another send fits, which it then counts. hosts: live hosts that share the bound.
-    bool trySpend(const RetryBound &bound, int hosts, units::TimePoint now);
+    bool trySpend(const RetryLimit &bound, int hosts, units::TimePoint now);
     // True if trySpend() would allow it.
-    bool hasLeft(const RetryBound &bound, int hosts, units::TimePoint now);
+    bool hasLeft(const RetryLimit &bound, int hosts, units::TimePoint now);
 
 private:
-    void forgetOld(const RetryBound &bound, units::TimePoint now);
+    void forgetOld(const RetryLimit &bound, units::TimePoint now);
 
     std::deque<units::TimePoint> requests_;
     std::deque<units::TimePoint> repeats_;
--- a/include/monsoongrade/routing/route.h
+++ b/include/monsoongrade/routing/route.h
@@ -37,7 +37,7 @@
     units::Duration timeout = std::chrono::seconds(10); // from receipt to the end of the response
     units::Duration targetLatency = std::chrono::seconds(1); // to the response or first event
     // How long clients wait for the first event of a stream before they leave, at most.
-    units::Duration clientPatience = std::chrono::seconds(60);
+    units::Duration maxClientWait = std::chrono::seconds(60);
     units::Duration maxEventGap = std::chrono::seconds(1); // pause between events still on time
     int maxAttempts = 1; // endpoints that one request may be sent to
     units::Tier tier;
--- a/include/monsoongrade/routing/shortpausereserve.h
+++ b/include/monsoongrade/routing/shortpausereserve.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_ROUTING_SHORTPAUSERESERVE_H
 #define MONSOONGRADE_ROUTING_SHORTPAUSERESERVE_H
 
-#include <monsoongrade/routing/endpointroster.h>
+#include <monsoongrade/routing/endpointregistry.h>
 #include <monsoongrade/routing/route.h>
 
 #include <unordered_map>
@@ -35,7 +35,7 @@
     // The endpoints that are kept now: minSize or as many as the open streams need, at most half of
     // those that can be used. arriving: streams that are about to be placed.
     const Endpoints &endpoints(const units::PoolName &pool,
-                               const std::vector<EndpointRoster::Status> &available,
+                               const std::vector<EndpointRegistry::Status> &available,
                                units::TimePoint now, std::size_t minSize, int arriving = 0);
 
 private:
@@ -48,7 +48,7 @@
         Endpoints endpoints;
     };
 
-    static void choose(Pool &pool, const std::vector<EndpointRoster::Status> &available,
+    static void choose(Pool &pool, const std::vector<EndpointRegistry::Status> &available,
                        units::TimePoint now);
 
     std::unordered_map<std::string, Pool> pools_;
--- a/include/monsoongrade/routing/storeoutage.h
+++ b/include/monsoongrade/routing/storeoutage.h
@@ -13,8 +13,8 @@
 // ones are kept for a moment. If only this host was turned away, the store was there for the
 // endpoints: a missing entry means that the endpoint left, and it must get no more requests.
 // Another host that had the store all that time shows it.
-bool wasAwayForAll(units::Duration away, const std::string &ownIp,
-                   const std::vector<PeerNews> &hosts);
+bool wasFleetWideOutage(units::Duration away, const std::string &ownIp,
+                        const std::vector<PeerUpdate> &hosts);
 
 } // namespace monsoongrade::routing
 
--- a/include/monsoongrade/routing/storeaccess.h
+++ b/include/monsoongrade/routing/storesourceselector.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_ROUTING_STOREACCESS_H
-#define MONSOONGRADE_ROUTING_STOREACCESS_H
+#ifndef MONSOONGRADE_ROUTING_STORESOURCESELECTOR_H
+#define MONSOONGRADE_ROUTING_STORESOURCESELECTOR_H
 
 #include <monsoongrade/routing/peertable.h>
 #include <monsoongrade/routing/storereaders.h>
@@ -23,15 +23,15 @@
     Kind kind = Kind::Store;
     std::string host; // IP of the host to ask
     // The host shall hold the call until it has the store again: no other host has it either.
-    bool isPatient = false;
+    bool waitsForStore = false;
     // A list of the store may be some seconds old. It costs a tenth of a call there and proves
     // nothing about what is in force; the watch that follows does.
     bool mayBeStale = false;
     // Other hosts depend on what this one reads at the store.
-    bool isForOthers = false;
+    bool servesOtherHosts = false;
     // Of a host: all objects and not only those of this host's cell, since this one may have to
     // read for the others next.
-    bool wantsAll = false;
+    bool wantsAllObjects = false;
     units::Duration wait{};
 };
 
@@ -45,16 +45,16 @@
 // Who reads is worked out by each host from what the hosts say of themselves. A host that is asked
 // though it is not a reader by its own count becomes one for a moment, so that the fleet does not
 // wait until all have noticed that a reader is lost.
-class StoreAccess
+class StoreSourceSelector
 {
 public:
     // seedIps: hosts that the settings name; while a whole fleet starts they read for the others.
-    StoreAccess(std::string ownIp, const std::vector<std::string> &seedIps,
-                units::TimePoint startedAt);
+    StoreSourceSelector(std::string ownIp, const std::vector<std::string> &seedIps,
+                        units::TimePoint startedAt);
 
     // Where to read next. hosts: all live hosts, this one included. hasContent: a list was read
     // before, so that only what changed since is needed.
-    StoreSource next(const std::vector<PeerNews> &hosts, bool hasContent, units::TimePoint now);
+    StoreSource next(const std::vector<PeerUpdate> &hosts, bool hasContent, units::TimePoint now);
 
     // What became of a call that next() sent to a host. provenAt: the time before which nothing is
     // missing there.
@@ -62,16 +62,16 @@
     // The host answered that it has lost the store itself.
     void onHostWithoutStore(const std::string &host, units::TimePoint now);
     // No answer at all to a call that began at calledAt.
-    void onHostSilent(const std::string &host, units::TimePoint calledAt, units::TimePoint now);
+    void onHostTimeout(const std::string &host, units::TimePoint calledAt, units::TimePoint now);
     // What became of a call to the store. A stale list that fails is no sign of an outage.
     void onStoreAnswered();
     void onStoreFailed(units::TimePoint now);
     void onStaleListFailed() { isStaleListUseless_ = true; }
     // The endpoints are too many for each host to list them at the store.
-    void noteLargeFleet() { isFleetLarge_ = true; }
+    void markFleetLarge() { isFleetLarge_ = true; }
     // Another host asked this one for what it reads. False if this host can't have the store soon:
     // it has failed here for a while.
-    bool onAsked(units::TimePoint now);
+    bool onReadRequested(units::TimePoint now);
 
     // The store turned this host away a moment ago, though other hosts have it.
     bool isRefused(units::TimePoint now) const { return now < refusedUntil_; }
@@ -79,13 +79,13 @@
     bool isReader() const { return isReader_; }
 
 private:
-    StoreSource whileStarting(const std::vector<PeerNews> &hosts, bool hasContent,
+    StoreSource whileStarting(const std::vector<PeerUpdate> &hosts, bool hasContent,
                               units::TimePoint now);
-    StoreSource whileLargeFleetStarts(const std::vector<PeerNews> &hosts, bool hasContent,
+    StoreSource whileLargeFleetStarts(const std::vector<PeerUpdate> &hosts, bool hasContent,
                                       units::TimePoint now);
-    StoreSource fromStore(const std::vector<PeerNews> &hosts, units::TimePoint now);
-    StoreSource fromHosts(std::vector<std::string> readers, const std::vector<PeerNews> &hosts);
-    bool standsBy(const std::vector<PeerNews> &hosts);
+    StoreSource fromStore(const std::vector<PeerUpdate> &hosts, units::TimePoint now);
+    StoreSource fromHosts(std::vector<std::string> readers, const std::vector<PeerUpdate> &hosts);
+    bool standsBy(const std::vector<PeerUpdate> &hosts);
     bool shouldRead(const std::vector<std::string> &readers, units::TimePoint now) const;
     std::size_t readersNow(units::TimePoint now) const;
     void forgetOld(units::TimePoint now);
@@ -113,4 +113,4 @@
 
 } // namespace monsoongrade::routing
 
-#endif // MONSOONGRADE_ROUTING_STOREACCESS_H
+#endif // MONSOONGRADE_ROUTING_STORESOURCESELECTOR_H
--- a/include/monsoongrade/routing/waitforecast.h
+++ b/include/monsoongrade/routing/waitforecast.h
@@ -22,7 +22,7 @@
 struct WaitForecast
 {
     WaitDecision decision = WaitDecision::Wait;
-    units::Duration comeBackIn{};
+    units::Duration retryDelay{};
 };
 
 // Predicts how long a request with a long read waits for an endpoint, from the tokens that go
@@ -39,11 +39,11 @@
     // The queue is empty: the rate is not known by it any more.
     void idle() { windowStart_ = {}; }
 
-    // targetIn, givenUpIn: until the first event of the request is due and until its client leaves.
+    // targetIn, expiresIn: until the first event of the request is due and until its client leaves.
     // endpoints: those that read for the queue. tokensPerMs: what one of them reads. The request's
     // own size is no input, or an overload would refuse the longest prompts and serve the short.
     WaitForecast forecast(const TokensAhead &ahead, units::Duration targetIn,
-                          units::Duration givenUpIn, std::size_t endpoints,
+                          units::Duration expiresIn, std::size_t endpoints,
                           double tokensPerMs) const;
 
 private:
--- a/include/monsoongrade/scaling/workerordering.h
+++ b/include/monsoongrade/scaling/poolautoscaler.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_SCALING_WORKERORDERING_H
-#define MONSOONGRADE_SCALING_WORKERORDERING_H
+#ifndef MONSOONGRADE_SCALING_POOLAUTOSCALER_H
+#define MONSOONGRADE_SCALING_POOLAUTOSCALER_H
 
 #include <monsoongrade/duties/duty.h>
 #include <monsoongrade/duties/dutyplatform.h>
@@ -17,10 +17,10 @@
 // The duty of ordering endpoints: compares what each pool has with what the policy wants and orders
 // the difference, more at once and fewer only after a while. Remembers nothing that a new holder
 // would need: what is there stands in the platform's store.
-class WorkerOrdering : public duties::Duty
+class PoolAutoscaler : public duties::Duty
 {
 public:
-    WorkerOrdering(const ScaledPools &pools, const SizingPolicy &policy, BaselineStore &baselines,
+    PoolAutoscaler(const ScaledPools &pools, const SizingPolicy &policy, BaselineStore &baselines,
                    duties::DutyPlatform &platform, observability::Metrics &metrics,
                    const units::Clock &clock);
 
@@ -84,4 +84,4 @@
 
 } // namespace monsoongrade::scaling
 
-#endif // MONSOONGRADE_SCALING_WORKERORDERING_H
+#endif // MONSOONGRADE_SCALING_POOLAUTOSCALER_H
--- a/include/monsoongrade/scaling/scaledpool.h
+++ b/include/monsoongrade/scaling/scaledpool.h
@@ -2,7 +2,7 @@
 #define MONSOONGRADE_SCALING_SCALEDPOOL_H
 
 #include <monsoongrade/routing/poolscaling.h>
-#include <monsoongrade/scaling/poolcensus.h>
+#include <monsoongrade/scaling/poolendpointcounts.h>
 
 #include <vector>
 
@@ -13,7 +13,7 @@
 {
     units::PoolName name;
     routing::PoolScaling scaling;
-    PoolCensus census;
+    PoolEndpointCounts endpointCounts;
 };
 
 // The pools of the configuration in force.
--- a/include/monsoongrade/scaling/sizingpolicy.h
+++ b/include/monsoongrade/scaling/sizingpolicy.h
@@ -2,7 +2,7 @@
 #define MONSOONGRADE_SCALING_SIZINGPOLICY_H
 
 #include <monsoongrade/routing/poolscaling.h>
-#include <monsoongrade/scaling/poolcensus.h>
+#include <monsoongrade/scaling/poolendpointcounts.h>
 
 #include <map>
 #include <set>
@@ -27,11 +27,11 @@
 struct SizingInput
 {
     routing::PoolScaling scaling;
-    PoolCensus census;
+    PoolEndpointCounts endpointCounts;
     // Endpoints that the load needs.
     int needed = 0;
     // Failure domains in which no preemptible endpoint is to be had at the moment.
-    std::set<units::FailureDomain> withoutPreemptible;
+    std::set<units::FailureDomain> preemptibleUnavailable;
 };
 
 // Decides how many endpoints of each kind a pool shall have in each failure domain. Knows nothing
--- a/programs/monsoongrade-gateway/main.cpp
+++ b/programs/monsoongrade-gateway/main.cpp
@@ -2,17 +2,17 @@
 #include <monsoongrade/daemon/parsearguments.h>
 #include <monsoongrade/daemon/settingsfile.h>
 #include <monsoongrade/gateway/dutyservice.h>
-#include <monsoongrade/gateway/quarantinekeeper.h>
+#include <monsoongrade/gateway/quarantinepersister.h>
 #include <monsoongrade/httpio/socketoptions.h>
 #include <monsoongrade/observability/log.h>
 #include <monsoongrade/units/bootclock.h>
 
-#include <platform/dutycalls.h>
-#include <platform/dutyobjects.h>
-#include <platform/platformdialect.h>
-#include <platform/platformfeed.h>
+#include <platform/dutyobjectstore.h>
+#include <platform/dutyplatformclient.h>
+#include <platform/platformheadercodec.h>
 #include <platform/platformpages.h>
-#include <platform/quarantineobjects.h>
+#include <platform/platformwatcher.h>
+#include <platform/quarantineobjectstore.h>
 
 #include <CLI/CLI.hpp>
 #include <asio/signal_set.hpp>
@@ -59,8 +59,8 @@
 
 private:
     platform::StoreClient client_;
-    platform::DutyObjects objects_;
-    platform::DutyCalls calls_;
+    platform::DutyObjectStore objects_;
+    platform::DutyPlatformClient calls_;
     gateway::DutyService service_;
 };
 
@@ -162,15 +162,16 @@
     // One thread runs everything, so the loop needs no locks.
     asio::io_context io(ASIO_CONCURRENCY_HINT_UNSAFE_IO);
     httpio::Timers timers(io, clock);
-    const platform::PlatformDialect dialect;
+    const platform::PlatformHeaderCodec dialect;
     gateway::Gateway gateway(io, timers, settings, dialect,
                              {platform::serveReadiness, platform::serveDirectory});
     gateway.start();
-    platform::PlatformFeed feed(io, timers, gateway, *store, settings.relayPort);
+    platform::PlatformWatcher feed(io, timers, gateway, *store, settings.relayPort);
     feed.start();
     platform::StoreClient storeClient(io, timers, gateway.state().log.metrics);
-    platform::QuarantineObjects quarantineObjects(storeClient, *store);
-    gateway::QuarantineKeeper quarantineKeeper(timers, gateway.state().crashes, quarantineObjects);
+    platform::QuarantineObjectStore quarantineObjects(storeClient, *store);
+    gateway::QuarantinePersister quarantineKeeper(timers, gateway.state().crashes,
+                                                  quarantineObjects);
     quarantineKeeper.start();
     std::optional<Duties> duties;
     if (settings.reportsUsage())
--- a/soak/caller.cpp
+++ b/soak/caller.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-class Caller::Call : public std::enable_shared_from_this<Call>, private httpio::ChannelUser
+class Caller::Call : public std::enable_shared_from_this<Call>, private httpio::ChannelListener
 {
 public:
     Call(Caller &caller, std::shared_ptr<CallRecord> record)
@@ -122,7 +122,7 @@
     while (!idle.empty()) {
         std::shared_ptr<httpio::Channel> channel = idle.back();
         idle.pop_back();
-        if (channel->looksIdle())
+        if (channel->isStillIdle())
             return channel;
         channel->close();
     }
--- a/soak/soakrun.cpp
+++ b/soak/soakrun.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using nlohmann::json;
-using standins::StoreMood;
+using standins::StoreBehavior;
 using std::chrono::milliseconds;
 
 constexpr std::uint16_t CallersPort = 8001;
@@ -225,13 +225,13 @@
         host->process->signal(SIGTERM);
         break;
     case FaultKind::StoreRefuses:
-        store_.setMood(StoreMood::Refusing, host->store);
+        store_.setBehavior(StoreBehavior::Refusing, host->store);
         break;
     case FaultKind::StoreLosesAnswers:
-        store_.setMood(StoreMood::LosingAnswers, host->store);
+        store_.setBehavior(StoreBehavior::DroppingResponses, host->store);
         break;
     case FaultKind::StoreAway:
-        store_.setMood(StoreMood::Refusing);
+        store_.setBehavior(StoreBehavior::Refusing);
         break;
     case FaultKind::HistoryGone:
         store_.compact();
@@ -266,10 +266,10 @@
         break;
     case FaultKind::StoreRefuses:
     case FaultKind::StoreLosesAnswers:
-        store_.setMood(StoreMood::Normal, host->store);
+        store_.setBehavior(StoreBehavior::Normal, host->store);
         break;
     case FaultKind::StoreAway:
-        store_.setMood(StoreMood::Normal);
+        store_.setBehavior(StoreBehavior::Normal);
         break;
     case FaultKind::HistoryGone:
     case FaultKind::KeyRevoked:
--- a/src/duties/dutyhosts.cpp
+++ b/src/duties/dutyhosts.cpp
@@ -12,16 +12,16 @@
 
 } // namespace
 
-std::vector<std::string> dutyCandidates(const std::vector<routing::PeerNews> &hosts)
+std::vector<std::string> dutyCandidates(const std::vector<routing::PeerUpdate> &hosts)
 {
     return routing::storeReaders(hosts, MaxCandidates);
 }
 
-std::vector<std::string> countKeepers(const std::vector<routing::PeerNews> &hosts)
+std::vector<std::string> usageCollectors(const std::vector<routing::PeerUpdate> &hosts)
 {
     std::vector<std::string> keepers;
     std::uint64_t newest = 0;
-    for (const routing::PeerNews &host : hosts) {
+    for (const routing::PeerUpdate &host : hosts) {
         if (host.dutyToken > newest) {
             newest = host.dutyToken;
             keepers = {host.ip};
--- a/src/duties/dutyholder.cpp
+++ b/src/duties/dutyrunner.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/duties/dutyholder.h>
+#include <monsoongrade/duties/dutyrunner.h>
 
 #include <monsoongrade/observability/log.h>
 
@@ -6,14 +6,14 @@
 
 namespace monsoongrade::duties {
 
-DutyHolder::DutyHolder(Lease::Settings settings, LeaseStore &store, const units::Clock &clock)
+DutyRunner::DutyRunner(Lease::Settings settings, LeaseStore &store, const units::Clock &clock)
     : store_(store)
     , clock_(clock)
     , lease_(std::move(settings), clock.now())
 {
 }
 
-void DutyHolder::run(bool isCandidate)
+void DutyRunner::run(bool isCandidate)
 {
     // A call under way could reach the platform after the first one of the next holder.
     if (isStopping_ && !hasOpenCall())
@@ -31,28 +31,28 @@
     }
 }
 
-void DutyHolder::stop()
+void DutyRunner::stop()
 {
     isStopping_ = true;
     run(false);
 }
 
-bool DutyHolder::hasOpenCall() const
+bool DutyRunner::hasOpenCall() const
 {
     return std::any_of(duties_.begin(), duties_.end(),
                        [](const Duty *duty) { return duty->hasOpenCall(); });
 }
 
-FencingToken DutyHolder::tokenInForce() const
+FencingToken DutyRunner::currentToken() const
 {
     const bool mayAct = !isStopping_ && lease_.mayAct(clock_.now(), units::Duration::zero());
     return mayAct ? lease_.token() : FencingToken();
 }
 
-void DutyHolder::callStore(const Lease::Step &step)
+void DutyRunner::callStore(const Lease::Step &step)
 {
     isCalling_ = true;
-    const auto done = [this, alive = std::weak_ptr<bool>(alive_)](const LeaseAnswer &answer) {
+    const auto done = [this, alive = std::weak_ptr<bool>(alive_)](const LeaseCallResult &answer) {
         if (alive.expired())
             return;
         isCalling_ = false;
@@ -74,9 +74,9 @@
     }
 }
 
-void DutyHolder::noteChange()
+void DutyRunner::noteChange()
 {
-    const FencingToken token = tokenInForce();
+    const FencingToken token = currentToken();
     if (token == lastToken_)
         return;
     if (lastToken_ != FencingToken()) {
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -70,17 +70,17 @@
     return {call, std::move(record), known_ ? known_->revision : routing::Revision()};
 }
 
-void Lease::onAnswer(const LeaseAnswer &answer, units::TimePoint now)
+void Lease::onAnswer(const LeaseCallResult &answer, units::TimePoint now)
 {
     switch (answer.outcome) {
-    case LeaseAnswer::Outcome::Stored:
+    case LeaseCallResult::Outcome::Stored:
         observe(answer.stored, now);
         break;
-    case LeaseAnswer::Outcome::Missing:
+    case LeaseCallResult::Outcome::Missing:
         isKnownMissing_ = !known_;
         nextCallAt_ = isKnownMissing_ ? now : nextCallAt_;
         break;
-    case LeaseAnswer::Outcome::Unknown:
+    case LeaseCallResult::Outcome::Unknown:
         nextCallAt_ = now + settings_.duration / RetriesInDuration;
         break;
     }
--- a/src/duties/usageledger.cpp
+++ b/src/duties/usageledger.cpp
@@ -9,7 +9,7 @@
 {
 }
 
-void UsageLedger::count(WindowNumber window, const units::WorkspaceName &workspace)
+void UsageLedger::increment(WindowNumber window, const units::WorkspaceName &workspace)
 {
     ++windows_[window][self_][workspace];
     changed_.emplace(window, workspace);
@@ -59,7 +59,7 @@
     return entries;
 }
 
-void UsageLedger::forgetBefore(WindowNumber window)
+void UsageLedger::eraseBefore(WindowNumber window)
 {
     windows_.erase(windows_.begin(), windows_.lower_bound(window));
     changed_.erase(changed_.begin(),
--- a/src/duties/counttelling.cpp
+++ b/src/duties/usagepublisher.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/duties/counttelling.h>
+#include <monsoongrade/duties/usagepublisher.h>
 
 #include <algorithm>
 
@@ -12,25 +12,25 @@
 
 } // namespace
 
-CountTelling::CountTelling(std::string ownIp)
+UsagePublisher::UsagePublisher(std::string ownIp)
     : ownIp_(std::move(ownIp))
 {
 }
 
-units::Duration CountTelling::interval(std::size_t hosts)
+units::Duration UsagePublisher::interval(std::size_t hosts)
 {
     return std::max<units::Duration>(MinInterval, IntervalPerHost * std::int64_t(hosts));
 }
 
-std::vector<CountNews> CountTelling::round(const std::vector<std::string> &keepers,
-                                           UsageLedger &ledger, units::TimePoint now)
+std::vector<UsageUpdate> UsagePublisher::nextUpdates(const std::vector<std::string> &keepers,
+                                                     UsageLedger &ledger, units::TimePoint now)
 {
     if (now >= allToldAt_ + TellAllInterval) {
         allToldAt_ = now;
         informed_.clear();
     }
     const std::vector<UsageEntry> changed = ledger.takeChanged();
-    std::vector<CountNews> news;
+    std::vector<UsageUpdate> news;
     std::set<std::string> informed;
     for (const std::string &keeper : keepers) {
         informed.insert(keeper);
--- a/src/duties/usagereporting.cpp
+++ b/src/duties/usagereporter.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/duties/usagereporting.h>
+#include <monsoongrade/duties/usagereporter.h>
 
 #include <monsoongrade/observability/log.h>
 
@@ -16,9 +16,9 @@
 
 } // namespace
 
-UsageReporting::UsageReporting(UsageWindows windows, const UsageLedger &ledger,
-                               const WallTimeEstimate &wallTime, UsageReportStore &store,
-                               DutyPlatform &platform, const units::Clock &clock)
+UsageReporter::UsageReporter(UsageWindows windows, const UsageLedger &ledger,
+                             const WallTimeEstimate &wallTime, UsageReportStore &store,
+                             DutyPlatform &platform, const units::Clock &clock)
     : windows_(windows)
     , ledger_(ledger)
     , wallTime_(wallTime)
@@ -28,7 +28,7 @@
 {
 }
 
-void UsageReporting::act(FencingToken token)
+void UsageReporter::act(FencingToken token)
 {
     const units::TimePoint now = clock_.now();
     if (heldToken_ != token) {
@@ -48,9 +48,9 @@
 }
 
 // The oldest window that is over, not yet reported, and whose report is not overdue.
-std::optional<WindowNumber> UsageReporting::nextWindow(WallTime now)
+std::optional<WindowNumber> UsageReporter::nextWindow(WallTime now)
 {
-    const WindowNumber oldest = windows_.at(now - windows_.dueWithin);
+    const WindowNumber oldest = windows_.windowAt(now - windows_.dueWithin);
     removeOld(oldest);
     for (WindowNumber window = oldest; windows_.endOf(window) + SettleTime <= now;
          window = WindowNumber(window.value() + 1)) {
@@ -60,7 +60,7 @@
     return std::nullopt;
 }
 
-void UsageReporting::removeOld(WindowNumber oldest)
+void UsageReporter::removeOld(WindowNumber oldest)
 {
     const WindowNumber keptFrom(oldest.value()
                                 - KeptDueTimes * windows_.dueWithin / windows_.length);
@@ -71,10 +71,10 @@
     }
 }
 
-void UsageReporting::fix(WindowNumber window)
+void UsageReporter::fix(WindowNumber window)
 {
     const UsageCounts counts = ledger_.totals(window);
-    store_.fix(
+    store_.createOrRead(
         window, counts,
         [this, window, alive = std::weak_ptr<bool>(alive_)](std::optional<UsageCounts> fixed) {
             if (alive.expired())
@@ -87,7 +87,7 @@
         });
 }
 
-void UsageReporting::send(WindowNumber window, FencingToken token)
+void UsageReporter::send(WindowNumber window, FencingToken token)
 {
     const UsageCounts &counts = *reports_[window].fixed;
     platform_.reportUsage(
@@ -110,7 +110,7 @@
         });
 }
 
-void UsageReporting::retryLater()
+void UsageReporter::retryLater()
 {
     callAgainAt_ = clock_.now() + RetryPause;
 }
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -16,13 +16,13 @@
     return units::spreadHash({callersDomain.value(), ip});
 }
 
-std::vector<std::string> chooseAmong(const std::vector<routing::PeerNews> &hosts,
+std::vector<std::string> chooseAmong(const std::vector<routing::PeerUpdate> &hosts,
                                      const units::FailureDomain &callersDomain,
                                      std::size_t maxHosts)
 {
     std::vector<std::string> all;
     std::vector<std::string> near;
-    for (const routing::PeerNews &host : hosts) {
+    for (const routing::PeerUpdate &host : hosts) {
         all.push_back(host.ip);
         if (host.failureDomain == callersDomain)
             near.push_back(host.ip);
@@ -39,18 +39,18 @@
 
 } // namespace
 
-std::vector<std::string> hostsForCallers(const routing::PeerNews &own,
-                                         const std::vector<routing::PeerNews> &live,
+std::vector<std::string> hostsForCallers(const routing::PeerUpdate &own,
+                                         const std::vector<routing::PeerUpdate> &live,
                                          const units::FailureDomain &callersDomain,
                                          std::size_t maxHosts)
 {
     for (const routing::PeerState wanted :
-         {routing::PeerState::Serving, routing::PeerState::Waiting}) {
-        std::vector<routing::PeerNews> found;
+         {routing::PeerState::Serving, routing::PeerState::NotReady}) {
+        std::vector<routing::PeerUpdate> found;
         if (own.state == wanted)
             found.push_back(own);
         std::copy_if(live.begin(), live.end(), std::back_inserter(found),
-                     [wanted](const routing::PeerNews &peer) { return peer.state == wanted; });
+                     [wanted](const routing::PeerUpdate &peer) { return peer.state == wanted; });
         if (!found.empty())
             return chooseAmong(found, callersDomain, maxHosts);
     }
--- a/src/gateway/dutyservice.cpp
+++ b/src/gateway/dutyservice.cpp
@@ -18,7 +18,7 @@
                          duties::DutyPlatform &platform, const units::Clock &clock)
     : timers_(timers)
     , gateway_(gateway)
-    , holder_({gateway.state().usage->ledger().self(), gateway.settings().leaseDuration,
+    , holder_({gateway.state().usage->ledger().sourceId(), gateway.settings().leaseDuration,
                gateway.settings().leaseDuration},
               stores.lease, clock)
     , usage_(gateway.state().usage->windows(), gateway.state().usage->ledger(),
@@ -34,7 +34,7 @@
 {
     isStopping_ = true;
     holder_.stop();
-    gateway_.setDutyToken(holder_.tokenInForce().value());
+    gateway_.setDutyToken(holder_.currentToken().value());
 }
 
 std::vector<scaling::ScaledPool> DutyService::pools() const
@@ -45,8 +45,8 @@
         return pools;
     for (const routing::TrafficPool &pool : state.table->configuration().pools) {
         if (pool.scaling)
-            pools.push_back(
-                {pool.name, *pool.scaling, scaling::takeCensus(state.roster.listed(pool.name))});
+            pools.push_back({pool.name, *pool.scaling,
+                             scaling::countEndpoints(state.registry.listed(pool.name))});
     }
     return pools;
 }
@@ -63,7 +63,7 @@
         && std::find(candidates.begin(), candidates.end(), gateway_.settings().ip)
             != candidates.end();
     holder_.run(isCandidate);
-    gateway_.setDutyToken(holder_.tokenInForce().value());
+    gateway_.setDutyToken(holder_.currentToken().value());
     timers_.after(RoundInterval, [this] { round(); });
 }
 
--- a/src/gateway/endpointconnections.cpp
+++ b/src/gateway/endpointconnections.cpp
@@ -26,8 +26,9 @@
 
 std::string EndpointConnections::keyOf(const routing::EndpointStatus &endpoint)
 {
-    return endpoint.described.id.value() + " "
-        + std::to_string(endpoint.described.incarnation.value()) + " " + endpoint.described.address;
+    return endpoint.registration.id.value() + " "
+        + std::to_string(endpoint.registration.incarnation.value()) + " "
+        + endpoint.registration.address;
 }
 
 void EndpointConnections::acquire(const routing::EndpointStatus &endpoint, int maxOpen,
@@ -43,7 +44,7 @@
         acquired(ConnectOutcome::AtLimit, nullptr);
         return;
     }
-    const auto address = httpio::parseAddress(endpoint.described.address);
+    const auto address = httpio::parseAddress(endpoint.registration.address);
     if (!address) {
         forgetIfEmpty(key);
         acquired(ConnectOutcome::Failed, nullptr);
@@ -60,7 +61,7 @@
         const Idle idle = std::move(connections.idle.back());
         connections.idle.pop_back();
         const bool isUsable = now < idle.usableUntil && idle.channel->isOpen()
-            && (!checkIdle || idle.channel->looksIdle());
+            && (!checkIdle || idle.channel->isStillIdle());
         if (isUsable)
             return idle.channel;
         idle.channel->close();
--- a/src/gateway/eventrelay.cpp
+++ b/src/gateway/eventrelay.cpp
@@ -49,7 +49,7 @@
 
 std::string EventRelay::take(std::string_view bytes, units::TimePoint now)
 {
-    std::string passed = withoutKnown(events_.take(bytes));
+    std::string passed = withoutKnown(events_.feed(bytes));
     if (passed.empty())
         return passed;
     if (firstEventAt_)
@@ -62,7 +62,7 @@
 
 void EventRelay::resume()
 {
-    events_.dropRest();
+    events_.discardPartialEvent();
     checkingResume_ = !lastId_.empty();
 }
 
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -43,7 +43,7 @@
 {
     const units::TimePoint now = state_.timers.now();
     query_.targetIn = request_.receivedAt + route_->targetLatency - now;
-    query_.givenUpIn = std::min(deadline_, request_.receivedAt + route_->clientPatience) - now;
+    query_.expiresIn = std::min(deadline_, request_.receivedAt + route_->maxClientWait) - now;
     isPlacing_ = true;
     placingSince_ = now;
     placingNumber_
@@ -58,12 +58,13 @@
 {
     isPlacing_ = false;
     if (finished_) {
-        state_.placement.tell(ticket, routing::PlacementNews::Withdrawn);
+        state_.placement.tell(ticket, routing::PlacementEvent::Withdrawn);
         return;
     }
     if (choice.endpoint == nullptr) {
-        comeBackIn_ = choice.comeBackIn;
-        giveUp(mayHaveRun_ ? routing::NextStep::AnswerUnknown : routing::NextStep::RefuseNotRun,
+        comeBackIn_ = choice.retryDelay;
+        giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
+                           : routing::NextStep::RefuseNotRun,
                comeBackIn_ ? units::ResultCode::QueueFull : units::ResultCode::NoEndpointAvailable);
         return;
     }
@@ -74,7 +75,7 @@
     tokensToRead_ = choice.tokensToRead;
     if (state_.log.mayWrite("request-placed"))
         logPlaced(placing);
-    query_.tried.push_back(endpoint_->described.id);
+    query_.tried.push_back(endpoint_->registration.id);
     endpoint_->health.onSent(state_.timers.now());
     use_ = ResponseUse::None;
     firstByteSeen_ = false;
@@ -117,16 +118,18 @@
         return;
     }
     // Other hosts may have reported crashes while the request waited for its endpoint.
-    if (quarantineLeft()) {
-        giveUp(mayHaveRun_ ? routing::NextStep::AnswerUnknown : routing::NextStep::RefuseNotRun,
+    if (quarantineRemaining()) {
+        giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
+                           : routing::NextStep::RefuseNotRun,
                units::ResultCode::RequestQuarantined);
         return;
     }
     routing::RetryAllowance &allowance = retryAllowance();
     if (arrivals_ == 0) {
         allowance.onRequest(now);
-    } else if (!allowance.trySpend(state_.retryBound, state_.liveHosts, now)) {
-        giveUp(mayHaveRun_ ? routing::NextStep::AnswerUnknown : routing::NextStep::RefuseNotRun,
+    } else if (!allowance.trySpend(state_.retryLimit, state_.liveHosts, now)) {
+        giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
+                           : routing::NextStep::RefuseNotRun,
                units::ResultCode::RetryBudgetSpent);
         return;
     }
@@ -150,7 +153,7 @@
 httpio::Headers Exchange::endpointHeaders() const
 {
     EndpointRequest request;
-    request.endpoint = endpoint_->described.id;
+    request.endpoint = endpoint_->registration.id;
     request.workspace = admission_.workspace;
     request.timeLeft = timeLeft();
     request.tier = admission_.tier;
@@ -160,8 +163,8 @@
 
 void Exchange::onResponseHead(const httpio::MessageHead &head)
 {
-    endpoint_->lastHeardAt = state_.timers.now();
-    const EndpointAnswer answer = state_.dialect.decodeAnswer(head);
+    endpoint_->lastReceivedAt = state_.timers.now();
+    const EndpointResponseInfo answer = state_.dialect.decodeResponse(head);
     const bool belongsHere
         = answer.request == facts_.id || (answer.request.isEmpty() && !isSuccess(head.status));
     if (!belongsHere) {
@@ -172,7 +175,7 @@
     answer_ = answer;
     noteLimit();
     if (state_.crashes.size() > 0 && !answer_.wrongEndpoint)
-        state_.crashes.onAnswered(routing::startOf(endpoint_->described), sentAt_);
+        state_.crashes.onAnswered(routing::instanceOf(endpoint_->registration), sentAt_);
     const bool isEventStream
         = route_->kind == routing::RouteKind::Stream && isSuccess(head.status) && answer.isSigned;
     use_ = isEventStream ? ResponseUse::Relayed : ResponseUse::Collected;
@@ -187,15 +190,15 @@
     if (answer_.isLimitUnreadable)
         state_.log.write(
             observability::LogLevel::Warning, "endpoint-limit-unreadable",
-            {{"endpoint", endpoint_->described.id.value()}, {"request", facts_.id.value()}});
+            {{"endpoint", endpoint_->registration.id.value()}, {"request", facts_.id.value()}});
     if (answer_.provenNotRun && !answer_.requestLimit)
         return;
-    state_.limits.hear(routing::startOf(endpoint_->described), answer_.requestLimit,
-                       state_.timers.now());
+    state_.limits.update(routing::instanceOf(endpoint_->registration), answer_.requestLimit,
+                         state_.timers.now());
     if (!state_.placement.setLimit(*endpoint_, answer_.requestLimit))
         return;
     state_.log.write(observability::LogLevel::Info, "endpoint-limit-changed",
-                     {{"endpoint", endpoint_->described.id.value()},
+                     {{"endpoint", endpoint_->registration.id.value()},
                       {"request", facts_.id.value()},
                       {"requests-per-second", answer_.requestLimit.value_or(-1)}});
 }
@@ -203,7 +206,7 @@
 void Exchange::onResponseBody(std::string_view bytes)
 {
     if (use_ == ResponseUse::Relayed) {
-        endpoint_->lastHeardAt = state_.timers.now();
+        endpoint_->lastReceivedAt = state_.timers.now();
         relay(bytes);
         return;
     }
@@ -231,7 +234,7 @@
     if (events_.hasGap()) {
         const auto self = shared_from_this();
         dropChannel();
-        giveUp(routing::NextStep::BreakOff, units::ResultCode::EndpointBrokeInAnswer);
+        giveUp(routing::NextStep::AbortResponse, units::ResultCode::EndpointBrokeInAnswer);
         return;
     }
     if (!responseBegun_) {
@@ -284,7 +287,7 @@
         ? 50 + double(tokensToRead_) / double(TokensReadPerMs)
         : std::chrono::duration<double, std::milli>(route_->targetLatency).count() / 4;
     endpoint_->health.onLatency(std::max(1.0, took / std::max(expected, 1.0)), now);
-    state_.placement.tell(ticket_, routing::PlacementNews::FirstEvent);
+    state_.placement.tell(ticket_, routing::PlacementEvent::FirstEvent);
 }
 
 void Exchange::onResponseEnd()
@@ -303,7 +306,7 @@
 
 void Exchange::endRelay()
 {
-    if (responseHead_.endsAtClose && events_.hasRest()) {
+    if (responseHead_.endsAtClose && events_.hasPartialEvent()) {
         // Without a length, an orderly close within an event is a broken stream.
         onChannelFailure(httpio::ChannelFailure::BrokenInResponse);
         return;
@@ -312,13 +315,13 @@
         responseBegun_ = true;
         reply_->begin(responseHead_.status, state_.dialect.clientHeaders(responseHead_.headers));
     }
-    reply_->write(events_.takeRest());
+    reply_->write(events_.takePartialEvent());
     reply_->end();
     endpoint_->health.onSuccess(state_.timers.now());
     noteCompleted();
     state_.connections.giveBack(*endpoint_, channel_, answer_.idleTimeout);
     channel_.reset();
-    releaseEndpoint(routing::PlacementNews::Completed);
+    releaseEndpoint(routing::PlacementEvent::Completed);
     finish("completed", responseHead_.status, units::ResultCode::Ok);
 }
 
@@ -353,7 +356,7 @@
     if (!isServerError(status)) {
         endpoint_->health.onSuccess(now);
         noteCompleted();
-        releaseEndpoint(routing::PlacementNews::Completed);
+        releaseEndpoint(routing::PlacementEvent::Completed);
         deliverCollected();
         return;
     }
--- a/src/gateway/exchangeadmission.cpp
+++ b/src/gateway/exchangeadmission.cpp
@@ -30,13 +30,13 @@
 } // namespace
 
 void Exchange::start(GatewayState &state, httpio::ServerRequest request,
-                     std::shared_ptr<httpio::Reply> reply)
+                     std::shared_ptr<httpio::ResponseWriter> reply)
 {
     std::make_shared<Exchange>(state, std::move(request), std::move(reply))->run();
 }
 
 Exchange::Exchange(GatewayState &state, httpio::ServerRequest request,
-                   std::shared_ptr<httpio::Reply> reply)
+                   std::shared_ptr<httpio::ResponseWriter> reply)
     : state_(state)
     , request_(std::move(request))
     , reply_(std::move(reply))
@@ -51,7 +51,7 @@
     ++state_.openRequests;
     facts_ = state_.dialect.decodeRequest(request_.head.headers);
     deadline_ = request_.receivedAt + facts_.timeLeft.value_or(DefaultTimeLeft);
-    reply_->onClientGone([self = shared_from_this()] { self->onClientGone(); });
+    reply_->onClientDisconnected([self = shared_from_this()] { self->onClientDisconnected(); });
     admit();
 }
 
@@ -59,8 +59,8 @@
 {
     if (finished_)
         return;
-    if (state_.firstRead.isAwaited()) {
-        state_.firstRead.await([self = shared_from_this()] { self->admit(); });
+    if (state_.startupGate.isAwaited()) {
+        state_.startupGate.await([self = shared_from_this()] { self->admit(); });
         return;
     }
     table_ = state_.table;
@@ -72,7 +72,7 @@
         return;
     }
     route_ = admission_.route;
-    if (quarantineLeft()) {
+    if (quarantineRemaining()) {
         refuse(StatusUnavailable, units::ResultCode::RequestQuarantined, true);
         return;
     }
--- a/src/gateway/exchangefailures.cpp
+++ b/src/gateway/exchangefailures.cpp
@@ -90,10 +90,10 @@
     failure.sends = sends_;
     failure.maxAttempts = route_->maxAttempts;
     failure.timedOut = timedOut || now >= deadline_;
-    failure.isQuarantined = quarantineLeft().has_value();
-    failure.endpointLeft = state_.placement.hasEndpoint(query_);
-    failure.budgetLeft
-        = arrivals_ == 0 || retryAllowance().hasLeft(state_.retryBound, state_.liveHosts, now);
+    failure.isQuarantined = quarantineRemaining().has_value();
+    failure.hasAlternativeEndpoint = state_.placement.hasEndpoint(query_);
+    failure.hasRetryBudget
+        = arrivals_ == 0 || retryAllowance().hasLeft(state_.retryLimit, state_.liveHosts, now);
     return failure;
 }
 
@@ -108,7 +108,7 @@
 {
     const auto self = shared_from_this();
     releaseEndpoint();
-    if (step == routing::NextStep::BreakOff || responseBegun_) {
+    if (step == routing::NextStep::AbortResponse || responseBegun_) {
         reply_->abort();
         finish("broken-off", 0, reason);
     } else if (fallbackHead_) {
@@ -118,7 +118,7 @@
     } else if (step == routing::NextStep::RefuseNotRun) {
         refuse(StatusUnavailable, reason, true);
     } else {
-        refuse(step == routing::NextStep::AnswerTimeout ? StatusGatewayTimeout : StatusBadGateway,
+        refuse(step == routing::NextStep::RespondTimeout ? StatusGatewayTimeout : StatusBadGateway,
                reason, false);
     }
 }
@@ -127,13 +127,13 @@
 {
     std::optional<units::Duration> comeBack;
     if (reason == units::ResultCode::RequestQuarantined)
-        comeBack = quarantineLeft();
+        comeBack = quarantineRemaining();
     else if (mayComeBack)
         comeBack = comeBackIn_ ? routing::retryAfter(*comeBackIn_, facts_.id, timeLeft())
                                : routing::retryAfter(reason, facts_.id, timeLeft());
     const std::string body
         = std::to_string(int(reason)) + " " + std::string(units::resultCodeName(reason)) + "\n";
-    reply_->respond(status, state_.dialect.ownHeaders(facts_.id, comeBack), body);
+    reply_->respond(status, state_.dialect.gatewayHeaders(facts_.id, comeBack), body);
     finish(mayComeBack ? "refused" : "failed", status, reason);
 }
 
@@ -150,7 +150,7 @@
         return;
     dropChannel();
     // An endpoint that crashed with its host closes no connection.
-    if (endpoint_->lastHeardAt < sentAt_)
+    if (endpoint_->lastReceivedAt < sentAt_)
         noteCrash();
     endpointFailed();
     attemptFailed(units::ResultCode::EndpointSilent, true);
@@ -160,13 +160,13 @@
 // connections up, after 3 s. Silence towards all requests of this host shows it earlier.
 void Exchange::suspectIfSilent()
 {
-    if (finished_ || channel_ == nullptr || endpoint_->lastHeardAt >= sentAt_)
+    if (finished_ || channel_ == nullptr || endpoint_->lastReceivedAt >= sentAt_)
         return;
     const units::TimePoint now = state_.timers.now();
-    state_.placement.tell(ticket_, routing::PlacementNews::EndpointSilent);
+    state_.placement.tell(ticket_, routing::PlacementEvent::EndpointSilent);
     state_.log.write(observability::LogLevel::Warning, "endpoint-suspected",
                      {{"request", facts_.id.value()},
-                      {"endpoint", endpoint_->described.id.value()},
+                      {"endpoint", endpoint_->registration.id.value()},
                       {"silent-ms", milliseconds(now - sentAt_)}});
 }
 
@@ -197,7 +197,7 @@
            wasSent ? units::ResultCode::EndpointSilent : units::ResultCode::WaitedTooLong);
 }
 
-void Exchange::onClientGone()
+void Exchange::onClientDisconnected()
 {
     if (finished_)
         return;
@@ -215,7 +215,7 @@
     finish("client-left", 0, units::ResultCode::CallerLeft);
 }
 
-void Exchange::releaseEndpoint(routing::PlacementNews news)
+void Exchange::releaseEndpoint(routing::PlacementEvent news)
 {
     state_.timers.cancel(silenceTimer_);
     state_.timers.cancel(suspicionTimer_);
@@ -230,16 +230,16 @@
     // The host that placed the request counts the failure as well, if it is another one.
     const units::TimePoint now = state_.timers.now();
     const bool wasAccepting = endpoint_->health.accepts(now);
-    const routing::EndpointRoster::Status endpoint = endpoint_;
+    const routing::EndpointRegistry::Status endpoint = endpoint_;
     if (!state_.placement.isPlacedHere(ticket_))
         endpoint_->health.onFailure(now);
-    releaseEndpoint(routing::PlacementNews::EndpointFailed);
+    releaseEndpoint(routing::PlacementEvent::EndpointFailed);
     if (wasAccepting && !endpoint->health.accepts(now))
         state_.log.write(observability::LogLevel::Warning, "endpoint-suspended",
-                         {{"endpoint", endpoint->described.id.value()},
+                         {{"endpoint", endpoint->registration.id.value()},
                           {"pool", pool_.value()},
                           {"request", facts_.id.value()},
-                          {"failure-share", endpoint->health.failureShare(now)}});
+                          {"failure-share", endpoint->health.failureRate(now)}});
 }
 
 // A connection also breaks when only the network fails, or when an endpoint has too many. That
@@ -247,14 +247,14 @@
 void Exchange::noteCrash()
 {
     const units::TimePoint now = state_.timers.now();
-    const bool wasQuarantined = quarantineLeft().has_value();
-    state_.crashes.onCrash(identity(), routing::startOf(endpoint_->described), now);
-    const auto left = quarantineLeft();
+    const bool wasQuarantined = quarantineRemaining().has_value();
+    state_.crashes.onCrash(identity(), routing::instanceOf(endpoint_->registration), now);
+    const auto left = quarantineRemaining();
     state_.log.write(observability::LogLevel::Warning, "endpoint-broke-under-request",
                      {{"request", facts_.id.value()},
                       {"digest", routing::digestText(identity().digest)},
                       {"workspace", admission_.workspace.value()},
-                      {"endpoint", endpoint_->described.id.value()}});
+                      {"endpoint", endpoint_->registration.id.value()}});
     if (left && !wasQuarantined)
         observability::log(observability::LogLevel::Warning, "request-quarantined",
                            {{"request", facts_.id.value()},
@@ -268,11 +268,11 @@
     state_.crashes.onCompleted(identity(), state_.timers.now());
 }
 
-std::optional<units::Duration> Exchange::quarantineLeft()
+std::optional<units::Duration> Exchange::quarantineRemaining()
 {
     if (state_.crashes.size() == 0)
         return std::nullopt;
-    return state_.crashes.quarantineLeft(identity(), state_.timers.now());
+    return state_.crashes.quarantineRemaining(identity(), state_.timers.now());
 }
 
 void Exchange::dropChannel()
@@ -311,7 +311,7 @@
                        {{"request", facts_.id.value()},
                         {"route", route_->name.value()},
                         {"pool", pool_.value()},
-                        {"endpoint", endpoint_->described.id.value()},
+                        {"endpoint", endpoint_->registration.id.value()},
                         {"placed-by", state_.placement.placedBy(ticket_)},
                         {"tokens-to-read", tokensToRead_},
                         {"tier", std::int64_t(admission_.tier.value())},
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -63,7 +63,7 @@
 } // namespace
 
 Gateway::Gateway(asio::io_context &io, httpio::Timers &timers, const GatewaySettings &settings,
-                 const RequestDialect &dialect, Pages pages)
+                 const HeaderCodec &dialect, PageHandlers pages)
     : io_(io)
     , timers_(timers)
     , settings_(settings)
@@ -73,7 +73,7 @@
     , gossip_(io, timers, gossipSettings(settings), state_.crashes, state_.limits)
 {
     state_.ownDomain = settings.failureDomain;
-    state_.retryBound = settings.retryBound;
+    state_.retryLimit = settings.retryLimit;
     state_.callerLimits.maxBufferedBytes
         = std::size_t(settings.memoryMegabytes / BodyShareOfMemory) * 1024 * 1024;
     state_.callerLimits.maxConnections
@@ -94,12 +94,12 @@
 {
     callers_ = std::make_unique<httpio::Server>(
         io_, timers_, addressOf(settings_.callersAddress, "callers-address"), state_.callerLimits,
-        [this](httpio::ServerRequest request, std::shared_ptr<httpio::Reply> reply) {
+        [this](httpio::ServerRequest request, std::shared_ptr<httpio::ResponseWriter> reply) {
             Exchange::start(state_, std::move(request), std::move(reply));
         });
     const auto page = [this](const Page &serve) {
         return [this, serve](const httpio::ServerRequest &request,
-                             const std::shared_ptr<httpio::Reply> &reply) {
+                             const std::shared_ptr<httpio::ResponseWriter> &reply) {
             serve(*this, request, *reply);
         };
     };
@@ -115,10 +115,12 @@
         metrics_ = std::make_unique<httpio::Server>(
             io_, timers_, address, pageLimits_,
             [this](const httpio::ServerRequest &request,
-                   const std::shared_ptr<httpio::Reply> &reply) { serveMetrics(request, *reply); });
+                   const std::shared_ptr<httpio::ResponseWriter> &reply) {
+                serveMetrics(request, *reply);
+            });
     }
     gossip_.onRound([this] { onGossipRound(); });
-    gossip_.onLimit([this](const routing::LimitNews &news) { onLimitNews(news); });
+    gossip_.onLimit([this](const routing::RateLimitUpdate &news) { onRateLimitUpdate(news); });
     gossip_.start();
     state_.placement.start();
     if (state_.usage != nullptr)
@@ -142,27 +144,27 @@
                         {"workspaces", std::uint64_t(applied.workspaces.size())}});
 }
 
-void Gateway::proveConfiguration(units::TimePoint at)
+void Gateway::markConfigurationCurrent(units::TimePoint at)
 {
-    state_.lease.prove(at);
+    state_.lease.renew(at);
     if (state_.table != nullptr && state_.lease.isFresh(timers_.now()))
-        state_.firstRead.onConfiguration();
+        state_.startupGate.onConfiguration();
 }
 
 void Gateway::replaceEndpoints(const std::vector<routing::DiscoveredEndpoint> &endpoints,
                                units::TimePoint keepMissingUntil)
 {
-    state_.roster.replaceAll(endpoints, timers_.now(), keepMissingUntil);
+    state_.registry.replaceAll(endpoints, timers_.now(), keepMissingUntil);
     divideByOwnList();
-    state_.firstRead.onEndpoints();
+    state_.startupGate.onEndpoints();
     observability::log(observability::LogLevel::Info, "endpoints-listed",
                        {{"listed", std::uint64_t(endpoints.size())},
-                        {"known", std::uint64_t(state_.roster.size())}});
+                        {"known", std::uint64_t(state_.registry.size())}});
 }
 
 void Gateway::updateEndpoint(const routing::DiscoveredEndpoint &endpoint)
 {
-    state_.roster.update(endpoint);
+    state_.registry.update(endpoint);
     divideByOwnList();
     if (endpoint.draining)
         state_.log.write(observability::LogLevel::Info, "endpoint-draining",
@@ -177,7 +179,7 @@
 
 void Gateway::removeEndpoint(const units::EndpointId &id, units::TimePoint keepMissingUntil)
 {
-    state_.roster.remove(id, timers_.now(), keepMissingUntil);
+    state_.registry.remove(id, timers_.now(), keepMissingUntil);
     divideByOwnList();
     state_.log.write(observability::LogLevel::Info, "endpoint-removed", {{"endpoint", id.value()}});
 }
@@ -192,14 +194,14 @@
     if (leaving_)
         return routing::PeerState::Leaving;
     const bool isUsable = state_.table != nullptr && state_.lease.isFresh(timers_.now());
-    return isUsable ? routing::PeerState::Serving : routing::PeerState::Waiting;
+    return isUsable ? routing::PeerState::Serving : routing::PeerState::NotReady;
 }
 
 std::vector<std::string> Gateway::callerAddresses(const units::FailureDomain &callersDomain,
                                                   std::size_t maxAddresses) const
 {
     const std::string port = settings_.callersAddress.substr(settings_.callersAddress.find(':'));
-    routing::PeerNews own = gossip_.own();
+    routing::PeerUpdate own = gossip_.own();
     own.state = peerState();
     std::vector<std::string> addresses
         = hostsForCallers(own, gossip_.live(), callersDomain, maxAddresses);
@@ -211,8 +213,8 @@
 void Gateway::onGossipRound()
 {
     noteOwnState();
-    state_.roster.dropMissing(timers_.now());
-    const std::vector<routing::PeerNews> live = hosts();
+    state_.registry.removeExpired(timers_.now());
+    const std::vector<routing::PeerUpdate> live = hosts();
     state_.liveHosts = int(live.size());
     noteHosts(live);
     const auto ownPlace = std::count_if(
@@ -221,10 +223,10 @@
     setPlacingOrders(live);
 }
 
-void Gateway::setPlacingOrders(const std::vector<routing::PeerNews> &live)
+void Gateway::setPlacingOrders(const std::vector<routing::PeerUpdate> &live)
 {
-    const routing::FleetDivision &division = state_.roster.division();
-    std::vector<std::string> ofFleet = routing::placingOrder(live, hostsCompared_);
+    const routing::FleetDivision &division = state_.registry.division();
+    std::vector<std::string> ofFleet = routing::rankCoordinators(live, hostsCompared_);
     const std::uint32_t ownCell = division.cellOf(settings_.ip);
     std::vector<std::string> ofCell;
     std::copy_if(ofFleet.begin(), ofFleet.end(), std::back_inserter(ofCell),
@@ -234,10 +236,10 @@
 
 void Gateway::divide(const routing::FleetDivision &division)
 {
-    if (division == state_.roster.division())
+    if (division == state_.registry.division())
         return;
     const std::uint32_t ownCell = division.cellOf(settings_.ip);
-    state_.roster.divide(division, ownCell);
+    state_.registry.setDivision(division, ownCell);
     observability::log(observability::LogLevel::Info, "fleet-divided",
                        {{"cells", std::uint64_t(division.cells())},
                         {"own-cell", std::uint64_t(ownCell)},
@@ -255,21 +257,21 @@
 {
     if (!listsAllEndpoints_)
         return;
-    divide(routing::divideFleet(state_.roster.sizes(), state_.roster.division()));
+    divide(routing::divideFleet(state_.registry.sizes(), state_.registry.division()));
 }
 
-void Gateway::onLimitNews(const routing::LimitNews &news)
+void Gateway::onRateLimitUpdate(const routing::RateLimitUpdate &news)
 {
-    if (!state_.limits.hear(news.endpoint, news.limit, timers_.now() - news.age))
+    if (!state_.limits.update(news.endpoint, news.limit, timers_.now() - news.age))
         return;
-    const auto endpoint = state_.roster.find(news.endpoint);
+    const auto endpoint = state_.registry.find(news.endpoint);
     if (endpoint != nullptr)
         state_.placement.setLimit(*endpoint, news.limit);
 }
 
-std::vector<routing::PeerNews> Gateway::hosts() const
+std::vector<routing::PeerUpdate> Gateway::hosts() const
 {
-    std::vector<routing::PeerNews> hosts = gossip_.live();
+    std::vector<routing::PeerUpdate> hosts = gossip_.live();
     hosts.push_back(gossip_.own());
     return hosts;
 }
@@ -300,11 +302,11 @@
               : std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}});
 }
 
-void Gateway::noteHosts(const std::vector<routing::PeerNews> &hosts)
+void Gateway::noteHosts(const std::vector<routing::PeerUpdate> &hosts)
 {
     std::vector<std::string> now;
     now.reserve(hosts.size());
-    for (const routing::PeerNews &host : hosts)
+    for (const routing::PeerUpdate &host : hosts)
         now.push_back(host.ip);
     std::sort(now.begin(), now.end());
     std::vector<std::string> found;
@@ -358,12 +360,12 @@
 
 void Gateway::reload(const GatewaySettings &settings)
 {
-    state_.retryBound = settings.retryBound;
+    state_.retryLimit = settings.retryLimit;
     settings_.stopWithin = settings.stopWithin;
     observability::log(observability::LogLevel::Info, "settings-reloaded", {});
 }
 
-void Gateway::serveMetrics(const httpio::ServerRequest &request, httpio::Reply &reply)
+void Gateway::serveMetrics(const httpio::ServerRequest &request, httpio::ResponseWriter &reply)
 {
     if (request.head.target != "/metrics") {
         reply.respond(404, {}, "");
@@ -376,9 +378,9 @@
                 double(state_.connections.opened()));
     metrics.set("monsoongrade_gateway_endpoint_connections_idle", "",
                 double(state_.connections.idle()));
-    metrics.set("monsoongrade_gateway_endpoints_known", "", double(state_.roster.size()));
+    metrics.set("monsoongrade_gateway_endpoints_known", "", double(state_.registry.size()));
     metrics.set("monsoongrade_gateway_requests_quarantined", "",
-                double(state_.crashes.quarantined(timers_.now())));
+                double(state_.crashes.quarantinedCount(timers_.now())));
     metrics.set("monsoongrade_gateway_endpoints_limited", "", double(state_.limits.limited()));
     metrics.set("monsoongrade_gateway_live_hosts", "", double(state_.liveHosts));
     metrics.set("monsoongrade_gateway_hosts_compared_total", "", double(hostsCompared_.value()));
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -51,9 +51,9 @@
     settings.revocationBound
         = fromMilliseconds(reader.number("revocation-bound-ms", 5000, 0, DayInMilliseconds));
     settings.stopWithin = fromSeconds(reader.number("stop-within-s", 8, 0.5, DayInSeconds));
-    settings.retryBound.share = reader.number("retry-share", 0.2, 0, 100);
-    settings.retryBound.fixed = reader.number("retry-fixed", 50, 0, 1e6);
-    settings.retryBound.window
+    settings.retryLimit.share = reader.number("retry-share", 0.2, 0, 100);
+    settings.retryLimit.fixed = reader.number("retry-fixed", 50, 0, 1e6);
+    settings.retryLimit.window
         = fromSeconds(reader.number("retry-window-s", 10, 0.1, DayInSeconds));
     settings.dutiesAddress = reader.text("duties-address", "");
     // Beside the gossip unless told otherwise.
--- a/src/gateway/internal/gossipmessages.cpp
+++ b/src/gateway/internal/gossipmessages.cpp
@@ -13,38 +13,38 @@
 
 } // namespace
 
-void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerNews &news)
+void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &news)
 {
     peer.setIp(news.ip);
     peer.setFailureDomain(news.failureDomain.value());
     peer.setState(static_cast<schema::GossipPeer::State>(news.state));
     peer.setAgeMs(std::uint32_t(inMilliseconds(news.age)));
     peer.setUptimeMs(inMilliseconds(news.uptime));
-    peer.setStoreForMs(inMilliseconds(news.storeFor));
+    peer.setStoreForMs(inMilliseconds(news.storeReachableFor));
     peer.setMillicores(std::uint32_t(news.millicores));
     peer.setStoreRefused(news.isStoreRefused);
     peer.setDutyToken(news.dutyToken);
 }
 
-std::optional<routing::PeerNews> decodePeer(schema::GossipPeer::Reader peer)
+std::optional<routing::PeerUpdate> decodePeer(schema::GossipPeer::Reader peer)
 {
     const auto state = static_cast<std::uint16_t>(peer.getState());
     if (state > static_cast<std::uint16_t>(routing::PeerState::Lost))
         return std::nullopt; // from a newer version
-    routing::PeerNews news;
+    routing::PeerUpdate news;
     news.ip = peer.getIp();
     news.failureDomain = units::FailureDomain(peer.getFailureDomain());
     news.state = static_cast<routing::PeerState>(state);
     news.age = std::chrono::milliseconds(peer.getAgeMs());
     news.uptime = std::chrono::milliseconds(peer.getUptimeMs());
     news.millicores = int(peer.getMillicores());
-    news.storeFor = std::chrono::milliseconds(peer.getStoreForMs());
+    news.storeReachableFor = std::chrono::milliseconds(peer.getStoreForMs());
     news.isStoreRefused = peer.getStoreRefused();
     news.dutyToken = peer.getDutyToken();
     return news;
 }
 
-void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashNews &news)
+void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &news)
 {
     crash.setKind(static_cast<schema::CrashNews::Kind>(news.kind));
     crash.setWorkspace(news.request.workspace.value());
@@ -54,13 +54,13 @@
     crash.setAgeMs(inMilliseconds(news.age));
 }
 
-std::optional<routing::CrashNews> decodeCrash(schema::CrashNews::Reader crash)
+std::optional<routing::CrashUpdate> decodeCrash(schema::CrashNews::Reader crash)
 {
     const auto kind = static_cast<std::uint16_t>(crash.getKind());
-    if (kind > static_cast<std::uint16_t>(routing::CrashNews::Kind::EndpointAnswered))
+    if (kind > static_cast<std::uint16_t>(routing::CrashUpdate::Kind::EndpointAnswered))
         return std::nullopt; // from a newer version
-    routing::CrashNews news;
-    news.kind = static_cast<routing::CrashNews::Kind>(kind);
+    routing::CrashUpdate news;
+    news.kind = static_cast<routing::CrashUpdate::Kind>(kind);
     news.request.workspace = units::WorkspaceName(crash.getWorkspace());
     news.request.digest = routing::RequestDigest(crash.getDigest());
     news.endpoint
@@ -69,7 +69,7 @@
     return news;
 }
 
-void encodeLimit(schema::LimitNews::Builder limit, const routing::LimitNews &news)
+void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &news)
 {
     limit.setEndpoint(news.endpoint.id.value());
     limit.setIncarnation(news.endpoint.incarnation.value());
@@ -78,11 +78,11 @@
     limit.setAgeMs(inMilliseconds(news.age));
 }
 
-std::optional<routing::LimitNews> decodeLimit(schema::LimitNews::Reader limit)
+std::optional<routing::RateLimitUpdate> decodeLimit(schema::LimitNews::Reader limit)
 {
     if (!std::isfinite(limit.getRequestsPerSecond()) || limit.getRequestsPerSecond() < 0)
         return std::nullopt;
-    routing::LimitNews news;
+    routing::RateLimitUpdate news;
     news.endpoint
         = {units::EndpointId(limit.getEndpoint()), routing::Incarnation(limit.getIncarnation())};
     if (limit.getIsLimited())
--- a/src/gateway/internal/gossipmessages.h
+++ b/src/gateway/internal/gossipmessages.h
@@ -1,9 +1,9 @@
 #ifndef MONSOONGRADE_SRC_GATEWAY_INTERNAL_GOSSIPMESSAGES_H
 #define MONSOONGRADE_SRC_GATEWAY_INTERNAL_GOSSIPMESSAGES_H
 
-#include <monsoongrade/routing/crashnews.h>
-#include <monsoongrade/routing/limitnews.h>
+#include <monsoongrade/routing/crashupdate.h>
 #include <monsoongrade/routing/peertable.h>
+#include <monsoongrade/routing/ratelimitupdate.h>
 
 #include <gossip.capnp.h>
 
@@ -13,14 +13,14 @@
 
 // The parts of a gossip datagram. What a newer version says and this one can't read is left out.
 
-void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerNews &news);
-std::optional<routing::PeerNews> decodePeer(schema::GossipPeer::Reader peer);
+void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &news);
+std::optional<routing::PeerUpdate> decodePeer(schema::GossipPeer::Reader peer);
 
-void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashNews &news);
-std::optional<routing::CrashNews> decodeCrash(schema::CrashNews::Reader crash);
+void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &news);
+std::optional<routing::CrashUpdate> decodeCrash(schema::CrashNews::Reader crash);
 
-void encodeLimit(schema::LimitNews::Builder limit, const routing::LimitNews &news);
-std::optional<routing::LimitNews> decodeLimit(schema::LimitNews::Reader limit);
+void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &news);
+std::optional<routing::RateLimitUpdate> decodeLimit(schema::LimitNews::Reader limit);
 
 } // namespace monsoongrade::gateway::internal
 
--- a/src/gateway/internal/placementmessages.h
+++ b/src/gateway/internal/placementmessages.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_SRC_GATEWAY_INTERNAL_PLACEMENTMESSAGES_H
 #define MONSOONGRADE_SRC_GATEWAY_INTERNAL_PLACEMENTMESSAGES_H
 
-#include <monsoongrade/routing/placementdesk.h>
+#include <monsoongrade/routing/requestplacer.h>
 
 #include <cstdint>
 #include <optional>
@@ -27,13 +27,13 @@
     units::EndpointId endpoint; // empty if no endpoint takes the request
     std::int64_t tokensToRead = 0;
     bool isWaiting = false; // no endpoint yet: another answer follows
-    std::optional<units::Duration> comeBackIn; // refused because of a long queue
+    std::optional<units::Duration> retryDelay; // refused because of a long queue
 };
 
 struct NewsMessage
 {
     std::uint64_t number = 0;
-    routing::PlacementNews news = routing::PlacementNews::Withdrawn;
+    routing::PlacementEvent news = routing::PlacementEvent::Withdrawn;
 };
 
 struct CachedPartsMessage
--- a/src/gateway/peergossip.cpp
+++ b/src/gateway/peergossip.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 PeerGossip::PeerGossip(asio::io_context &io, httpio::Timers &timers, Settings settings,
-                       routing::CrashLedger &crashes, routing::LimitBoard &limits)
+                       routing::CrashTracker &crashes, routing::RateLimitTable &limits)
     : socket_(io)
     , timers_(timers)
     , settings_(std::move(settings))
@@ -62,7 +62,7 @@
     tell();
 }
 
-void PeerGossip::setHasStore(bool hasStore)
+void PeerGossip::setStoreReachable(bool hasStore)
 {
     if (hasStore && !hasStore_)
         storeSince_ = timers_.now();
@@ -94,17 +94,19 @@
 
 void PeerGossip::tell()
 {
-    const routing::GossipRounds::Round round = rounds_.next(table_, timers_.now());
-    for (const std::string &ip : round.toProbe)
+    const routing::GossipPlanner::Round round = rounds_.next(table_, timers_.now());
+    for (const std::string &ip : round.probeTargets)
         send(ip, encodeProbe());
-    if (round.addressees.empty())
+    if (round.recipients.empty())
         return;
     const std::string datagram = encode(round.news);
-    const std::vector<routing::CrashNews> crashes = crashes_.takeNews(MaxCrashes, timers_.now());
-    const std::vector<routing::LimitNews> limits = limits_.takeNews(MaxLimits, timers_.now());
+    const std::vector<routing::CrashUpdate> crashes
+        = crashes_.takeUpdates(MaxCrashes, timers_.now());
+    const std::vector<routing::RateLimitUpdate> limits
+        = limits_.takeUpdates(MaxLimits, timers_.now());
     const bool hasNews = !crashes.empty() || !limits.empty();
     const std::string news = hasNews ? encodeNews(crashes, limits) : std::string();
-    for (const std::string &ip : round.addressees) {
+    for (const std::string &ip : round.recipients) {
         send(ip, datagram);
         if (hasNews)
             send(ip, news);
@@ -114,8 +116,8 @@
 // A host that has just started can't know what is in quarantine.
 void PeerGossip::welcome(const std::string &newcomer)
 {
-    send(newcomer, encode(rounds_.newsForNewcomer(table_, timers_.now())));
-    const std::vector<routing::CrashNews> crashes
+    send(newcomer, encode(rounds_.newsForJoiningHost(table_, timers_.now())));
+    const std::vector<routing::CrashUpdate> crashes
         = crashes_.quarantineNews(MaxCrashes, timers_.now());
     if (!crashes.empty())
         send(newcomer, encodeNews(crashes, {}));
@@ -130,9 +132,9 @@
     // A datagram that can't be sent counts as lost; the next round tries again.
 }
 
-routing::PeerNews PeerGossip::own() const
+routing::PeerUpdate PeerGossip::own() const
 {
-    routing::PeerNews news;
+    routing::PeerUpdate news;
     news.ip = settings_.ownIp;
     news.failureDomain = settings_.ownFailureDomain;
     news.state = state_;
@@ -141,7 +143,7 @@
     news.isStoreRefused = isStoreRefused_;
     news.dutyToken = dutyToken_;
     if (hasStore_)
-        news.storeFor = timers_.now() - storeSince_;
+        news.storeReachableFor = timers_.now() - storeSince_;
     return news;
 }
 
@@ -160,7 +162,7 @@
     return internal::packed(message);
 }
 
-std::string PeerGossip::encode(const std::vector<routing::PeerNews> &others) const
+std::string PeerGossip::encode(const std::vector<routing::PeerUpdate> &others) const
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::GossipMessage>();
@@ -174,8 +176,8 @@
     return internal::packed(message);
 }
 
-std::string PeerGossip::encodeNews(const std::vector<routing::CrashNews> &crashes,
-                                   const std::vector<routing::LimitNews> &limits) const
+std::string PeerGossip::encodeNews(const std::vector<routing::CrashUpdate> &crashes,
+                                   const std::vector<routing::RateLimitUpdate> &limits) const
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::GossipMessage>();
@@ -196,7 +198,7 @@
             kj::arrayPtr(reinterpret_cast<const kj::byte *>(datagram.data()), datagram.size()));
         capnp::PackedMessageReader message(in);
         const auto root = message.getRoot<schema::GossipMessage>();
-        std::vector<routing::PeerNews> heard;
+        std::vector<routing::PeerUpdate> heard;
         std::string newcomer;
         if (auto sender = internal::decodePeer(root.getSender())) {
             if (!table_.isLive(sender->ip, timers_.now()))
@@ -211,16 +213,16 @@
         }
         for (const auto crash : root.getCrashes()) {
             if (const auto news = internal::decodeCrash(crash))
-                crashes_.hear(*news, timers_.now());
+                crashes_.receive(*news, timers_.now());
         }
         for (const auto limit : root.getLimits()) {
             const auto news = internal::decodeLimit(limit);
             if (news && onLimit_)
                 onLimit_(*news);
         }
-        for (const routing::PeerNews &news : heard) {
+        for (const routing::PeerUpdate &news : heard) {
             if (news.ip != settings_.ownIp)
-                table_.hear(news, timers_.now());
+                table_.receive(news, timers_.now());
         }
         if (!newcomer.empty() && newcomer != settings_.ownIp)
             welcome(newcomer);
--- a/src/gateway/placementmessages.cpp
+++ b/src/gateway/placementmessages.cpp
@@ -30,9 +30,9 @@
     ask.setTier(query.tier.value());
     ask.setNeedsShortPauses(query.needsShortPauses);
     ask.setPoolServesShortPauses(query.poolServesShortPauses);
-    ask.setFailureDomain(query.askersDomain.value());
+    ask.setFailureDomain(query.requesterDomain.value());
     ask.setTargetInMs(inMilliseconds(query.targetIn));
-    ask.setGivenUpInMs(inMilliseconds(query.givenUpIn));
+    ask.setGivenUpInMs(inMilliseconds(query.expiresIn));
     auto tried = ask.initTried(unsigned(query.tried.size()));
     for (std::size_t i = 0; i < query.tried.size(); ++i)
         tried.set(unsigned(i), query.tried[i].value());
@@ -51,9 +51,9 @@
     query.tier = units::Tier(ask.getTier());
     query.needsShortPauses = ask.getNeedsShortPauses();
     query.poolServesShortPauses = ask.getPoolServesShortPauses();
-    query.askersDomain = units::FailureDomain(ask.getFailureDomain());
+    query.requesterDomain = units::FailureDomain(ask.getFailureDomain());
     query.targetIn = std::chrono::milliseconds(ask.getTargetInMs());
-    query.givenUpIn = std::chrono::milliseconds(ask.getGivenUpInMs());
+    query.expiresIn = std::chrono::milliseconds(ask.getGivenUpInMs());
     query.mayWait = true;
     for (const auto tried : ask.getTried())
         query.tried.emplace_back(std::string(tried));
@@ -67,8 +67,8 @@
     answer.setEndpoint(from.endpoint.value());
     answer.setTokensToRead(std::uint32_t(from.tokensToRead));
     answer.setWaiting(from.isWaiting);
-    answer.setRefused(from.comeBackIn.has_value());
-    answer.setComeBackInMs(inMilliseconds(from.comeBackIn.value_or(units::Duration::zero())));
+    answer.setRefused(from.retryDelay.has_value());
+    answer.setComeBackInMs(inMilliseconds(from.retryDelay.value_or(units::Duration::zero())));
 }
 
 AnswerMessage read(schema::PlacementAnswer::Reader answer)
@@ -79,7 +79,7 @@
     message.tokensToRead = answer.getTokensToRead();
     message.isWaiting = answer.getWaiting();
     if (answer.getRefused())
-        message.comeBackIn = std::chrono::milliseconds(answer.getComeBackInMs());
+        message.retryDelay = std::chrono::milliseconds(answer.getComeBackInMs());
     return message;
 }
 
@@ -92,7 +92,7 @@
 
 NewsMessage read(schema::PlacementNews::Reader news)
 {
-    return {news.getNumber(), static_cast<routing::PlacementNews>(news.getNews())};
+    return {news.getNumber(), static_cast<routing::PlacementEvent>(news.getNews())};
 }
 
 void write(const CachedPartsMessage &from, schema::PlacementMessage::Builder root)
@@ -148,9 +148,9 @@
     AnswerMessage answer;
     answer.number = number;
     answer.isWaiting = choice.isWaiting;
-    answer.comeBackIn = choice.comeBackIn;
+    answer.retryDelay = choice.retryDelay;
     if (choice.endpoint != nullptr && !choice.isWaiting)
-        answer.endpoint = choice.endpoint->described.id;
+        answer.endpoint = choice.endpoint->registration.id;
     answer.tokensToRead = choice.tokensToRead;
     return answer;
 }
--- a/src/gateway/sharedplacement.cpp
+++ b/src/gateway/placementservice.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/gateway/sharedplacement.h>
+#include <monsoongrade/gateway/placementservice.h>
 
 #include <gateway/internal/placementmessages.h>
 
@@ -44,13 +44,13 @@
 
 } // namespace
 
-SharedPlacement::SharedPlacement(asio::io_context &io, httpio::Timers &timers, Settings settings,
-                                 const routing::EndpointRoster &roster,
-                                 observability::Metrics &metrics)
+PlacementService::PlacementService(asio::io_context &io, httpio::Timers &timers, Settings settings,
+                                   const routing::EndpointRegistry &registry,
+                                   observability::Metrics &metrics)
     : socket_(io)
     , timers_(timers)
     , settings_(std::move(settings))
-    , roster_(roster)
+    , registry_(registry)
     , metrics_(metrics)
     , lastNumber_(firstNumber())
 {
@@ -60,7 +60,7 @@
     socket_.non_blocking(true);
 }
 
-std::uint64_t SharedPlacement::place(const routing::PlacementQuery &query, Placed placed)
+std::uint64_t PlacementService::place(const routing::PlacementQuery &query, Placed placed)
 {
     const std::uint64_t number = ++lastNumber_;
     ask(number, {query, std::move(placed), {}, timers_.now()});
@@ -68,17 +68,17 @@
 }
 
 // Asks the host that places for all; decides here if it is this one.
-void SharedPlacement::ask(std::uint64_t number, Ask ask)
+void PlacementService::ask(std::uint64_t number, Ask ask)
 {
     const units::TimePoint now = timers_.now();
     ask.query.targetIn -= now - ask.askedAt;
-    ask.query.givenUpIn -= now - ask.askedAt;
+    ask.query.expiresIn -= now - ask.askedAt;
     ask.askedAt = now;
     ask.sentAt = now;
     ask.isWaiting = false;
     ask.wasRepeated = false;
     ask.decider = ask.query.runsModel
-        ? trust_.hostToAsk(orderFor(ask.query.pool), settings_.ownIp, now)
+        ? trust_.selectHost(orderFor(ask.query.pool), settings_.ownIp, now)
         : std::string();
     if (ask.decider.empty()) {
         placeAlone(number, ask.query, ask.placed);
@@ -89,59 +89,59 @@
     asks_[number] = std::move(ask);
 }
 
-void SharedPlacement::placeAlone(std::uint64_t number, const routing::PlacementQuery &query,
-                                 const Placed &placed)
+void PlacementService::placeAlone(std::uint64_t number, const routing::PlacementQuery &query,
+                                  const Placed &placed)
 {
     const routing::PlacementTicket ticket{settings_.ownIp, number};
     const routing::PlacementChoice choice
-        = desk_.place(ticket, query, roster_.available(query.pool), timers_.now());
+        = desk_.place(ticket, query, registry_.available(query.pool), timers_.now());
     if (choice.isWaiting)
         ownWaiting_[number] = placed;
     else
         placed(ticket, choice);
 }
 
-void SharedPlacement::tell(const routing::PlacementTicket &ticket, routing::PlacementNews news)
+void PlacementService::tell(const routing::PlacementTicket &ticket, routing::PlacementEvent news)
 {
     const auto decider = deciders_.find(ticket.number);
     if (decider == deciders_.end()) {
-        desk_.hear(ticket, news, timers_.now());
+        desk_.onEvent(ticket, news, timers_.now());
         ownWaiting_.erase(ticket.number);
         placeWaitingSoon();
         return;
     }
     send(decider->second, encode(NewsMessage{ticket.number, news}));
-    const bool staysOpen = news == routing::PlacementNews::FirstEvent
-        || news == routing::PlacementNews::EndpointSilent;
+    const bool staysOpen = news == routing::PlacementEvent::FirstEvent
+        || news == routing::PlacementEvent::EndpointSilent;
     if (!staysOpen)
         deciders_.erase(decider);
 }
 
-const std::string &SharedPlacement::placedBy(const routing::PlacementTicket &ticket) const
+const std::string &PlacementService::placedBy(const routing::PlacementTicket &ticket) const
 {
     const auto found = deciders_.find(ticket.number);
     return found == deciders_.end() ? settings_.ownIp : found->second;
 }
 
-bool SharedPlacement::hasEndpoint(const routing::PlacementQuery &query) const
+bool PlacementService::hasEndpoint(const routing::PlacementQuery &query) const
 {
-    return desk_.hasEndpoint(query, roster_.available(query.pool), timers_.now());
+    return desk_.hasEndpoint(query, registry_.available(query.pool), timers_.now());
 }
 
-void SharedPlacement::setOrders(std::vector<std::string> ofFleet, std::vector<std::string> ofCell)
+void PlacementService::setOrders(std::vector<std::string> ofFleet, std::vector<std::string> ofCell)
 {
     orderOfFleet_ = std::move(ofFleet);
     orderOfCell_ = std::move(ofCell);
     tellSuccessors();
 }
 
-const std::vector<std::string> &SharedPlacement::orderFor(const units::PoolName &pool) const
+const std::vector<std::string> &PlacementService::orderFor(const units::PoolName &pool) const
 {
-    return roster_.division().isDivided(pool) ? orderOfCell_ : orderOfFleet_;
+    return registry_.division().isDivided(pool) ? orderOfCell_ : orderOfFleet_;
 }
 
 // Hosts that take over where this one places for others.
-std::vector<std::string> SharedPlacement::successors() const
+std::vector<std::string> PlacementService::successors() const
 {
     std::vector<std::string> found;
     const auto addFirstOf = [&](const std::vector<std::string> &order) {
@@ -162,9 +162,9 @@
     return found;
 }
 
-void SharedPlacement::tellSuccessors()
+void PlacementService::tellSuccessors()
 {
-    const std::vector<routing::CachedPart> parts = desk_.takeNewParts();
+    const std::vector<routing::CachedPart> parts = desk_.takeNewCachedParts();
     if (parts.empty())
         return;
     const std::vector<std::string> hosts = successors();
@@ -178,7 +178,7 @@
     }
 }
 
-void SharedPlacement::onTimeout(std::uint64_t number)
+void PlacementService::onTimeout(std::uint64_t number)
 {
     const auto found = asks_.find(number);
     if (found == asks_.end())
@@ -196,23 +196,23 @@
     asks_.erase(found);
     metrics_.add("monsoongrade_gateway_placements_unanswered_total");
     // Its late choice must not count as load there.
-    send(ask.decider, encode(NewsMessage{number, routing::PlacementNews::Withdrawn}));
+    send(ask.decider, encode(NewsMessage{number, routing::PlacementEvent::Withdrawn}));
     // Without the other hosts' requests in view, waiting here would only add delay.
     routing::PlacementQuery query = ask.query;
     query.mayWait = false;
-    query.isAlone = true;
+    query.isLocalFallback = true;
     placeAlone(number, query, ask.placed);
 }
 
-bool SharedPlacement::isLostAfterMiss(const std::string &host, units::TimePoint asked)
+bool PlacementService::isLostAfterMiss(const std::string &host, units::TimePoint asked)
 {
-    if (!trust_.onMissed(host, asked, timers_.now()))
+    if (!trust_.onAnswerOverdue(host, asked, timers_.now()))
         return false;
     observability::log(observability::LogLevel::Warning, "placing-host-lost", {{"host", host}});
     return true;
 }
 
-void SharedPlacement::planWaitingCheck()
+void PlacementService::planWaitingCheck()
 {
     if (isCheckPlanned_)
         return;
@@ -224,7 +224,7 @@
 }
 
 // The answer to a waiting request may be lost, or the placing host with its queue.
-void SharedPlacement::checkWaiting()
+void PlacementService::checkWaiting()
 {
     std::map<std::string, std::vector<std::uint64_t>> numbers;
     for (const auto &[number, ask] : asks_) {
@@ -248,7 +248,7 @@
         planWaitingCheck();
 }
 
-void SharedPlacement::onCheckUnanswered(const std::string &host, units::TimePoint asked)
+void PlacementService::onCheckUnanswered(const std::string &host, units::TimePoint asked)
 {
     openChecks_.erase(host);
     if (!isLostAfterMiss(host, asked)) {
@@ -263,7 +263,7 @@
     onMessage(host, NotWaitingMessage{std::move(numbers)});
 }
 
-void SharedPlacement::receive()
+void PlacementService::receive()
 {
     socket_.async_receive_from(asio::buffer(buffer_), sender_,
                                [this](const asio::error_code &error, std::size_t count) {
@@ -276,7 +276,7 @@
                                });
 }
 
-void SharedPlacement::onDatagram(std::string_view datagram)
+void PlacementService::onDatagram(std::string_view datagram)
 {
     const std::string host = sender_.address().to_string();
     const auto fault = kj::runCatchingExceptions([&] {
@@ -289,27 +289,27 @@
     }
 }
 
-void SharedPlacement::onMessage(const std::string &host, const AskMessage &message)
+void PlacementService::onMessage(const std::string &host, const AskMessage &message)
 {
     metrics_.add("monsoongrade_gateway_placement_asks_total");
     const auto choice = desk_.place({host, message.number}, message.query,
-                                    roster_.available(message.query.pool), timers_.now());
+                                    registry_.available(message.query.pool), timers_.now());
     send(host, encode(answerOf(message.number, choice)));
 }
 
-void SharedPlacement::onMessage(const std::string &host, const NewsMessage &message)
+void PlacementService::onMessage(const std::string &host, const NewsMessage &message)
 {
-    desk_.hear({host, message.number}, message.news, timers_.now());
+    desk_.onEvent({host, message.number}, message.news, timers_.now());
     placeWaitingSoon();
 }
 
-void SharedPlacement::onMessage(const std::string &, const CachedPartsMessage &message)
+void PlacementService::onMessage(const std::string &, const CachedPartsMessage &message)
 {
     for (const routing::CachedPart &part : message.parts)
-        desk_.learn(part, timers_.now());
+        desk_.addCachedPart(part, timers_.now());
 }
 
-void SharedPlacement::onMessage(const std::string &host, const StillWaitingMessage &message)
+void PlacementService::onMessage(const std::string &host, const StillWaitingMessage &message)
 {
     NotWaitingMessage reply;
     for (const std::uint64_t number : message.numbers) {
@@ -324,7 +324,7 @@
     send(host, encode(reply));
 }
 
-void SharedPlacement::onMessage(const std::string &host, const NotWaitingMessage &message)
+void PlacementService::onMessage(const std::string &host, const NotWaitingMessage &message)
 {
     trust_.onAnswer(host);
     timers_.cancel(openChecks_[host]);
@@ -339,7 +339,7 @@
 }
 
 // Room may have come: tells the hosts whose waiting requests now have an endpoint.
-void SharedPlacement::placeWaitingSoon()
+void PlacementService::placeWaitingSoon()
 {
     if (!desk_.hasWaiting() || isPlacingPlanned_)
         return;
@@ -350,9 +350,9 @@
     });
 }
 
-void SharedPlacement::placeWaiting()
+void PlacementService::placeWaiting()
 {
-    for (const auto &[ticket, choice] : desk_.placeWaiting(roster_, timers_.now())) {
+    for (const auto &[ticket, choice] : desk_.placeWaiting(registry_, timers_.now())) {
         if (ticket.host != settings_.ownIp) {
             send(ticket.host, encode(answerOf(ticket.number, choice)));
             continue;
@@ -366,7 +366,7 @@
     }
 }
 
-void SharedPlacement::withdraw(std::uint64_t number)
+void PlacementService::withdraw(std::uint64_t number)
 {
     const auto found = asks_.find(number);
     if (found != asks_.end()) {
@@ -374,10 +374,10 @@
         deciders_[number] = found->second.decider;
         asks_.erase(found);
     }
-    tell({settings_.ownIp, number}, routing::PlacementNews::Withdrawn);
+    tell({settings_.ownIp, number}, routing::PlacementEvent::Withdrawn);
 }
 
-void SharedPlacement::onMessage(const std::string &host, const AnswerMessage &message)
+void PlacementService::onMessage(const std::string &host, const AnswerMessage &message)
 {
     const auto found = asks_.find(message.number);
     if (found == asks_.end() || found->second.decider != host)
@@ -391,27 +391,27 @@
     }
     const Ask ask = std::move(found->second);
     asks_.erase(found);
-    if (message.comeBackIn) {
+    if (message.retryDelay) {
         routing::PlacementChoice refused;
-        refused.comeBackIn = message.comeBackIn;
+        refused.retryDelay = message.retryDelay;
         ask.placed({settings_.ownIp, message.number}, std::move(refused));
         return;
     }
     const units::TimePoint now = timers_.now();
-    const auto status = roster_.findAvailable(message.endpoint);
+    const auto status = registry_.findAvailable(message.endpoint);
     if (status != nullptr && status->health.accepts(now)) {
         deciders_[message.number] = host;
         ask.placed({settings_.ownIp, message.number}, {status, message.tokensToRead});
         return;
     }
     // The other host does not know yet that the endpoint left or fails, or knows of none.
-    send(host, encode(NewsMessage{message.number, routing::PlacementNews::Withdrawn}));
+    send(host, encode(NewsMessage{message.number, routing::PlacementEvent::Withdrawn}));
     routing::PlacementQuery query = ask.query;
-    query.isAlone = true;
+    query.isLocalFallback = true;
     placeAlone(message.number, query, ask.placed);
 }
 
-void SharedPlacement::send(const std::string &ip, const std::string &datagram)
+void PlacementService::send(const std::string &ip, const std::string &datagram)
 {
     asio::error_code error;
     const auto address = asio::ip::make_address_v4(ip, error);
--- a/src/gateway/quarantinekeeper.cpp
+++ b/src/gateway/quarantinepersister.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/gateway/quarantinekeeper.h>
+#include <monsoongrade/gateway/quarantinepersister.h>
 
 namespace monsoongrade::gateway {
 
@@ -9,23 +9,23 @@
 
 } // namespace
 
-QuarantineKeeper::QuarantineKeeper(httpio::Timers &timers, routing::CrashLedger &crashes,
-                                   routing::QuarantineStore &store)
+QuarantinePersister::QuarantinePersister(httpio::Timers &timers, routing::CrashTracker &crashes,
+                                         routing::QuarantineStore &store)
     : timers_(timers)
     , crashes_(crashes)
     , store_(store)
 {
 }
 
-void QuarantineKeeper::start()
+void QuarantinePersister::start()
 {
     read();
     round();
 }
 
-void QuarantineKeeper::read()
+void QuarantinePersister::read()
 {
-    store_.readAll([this](const std::optional<std::vector<routing::CrashNews>> &kept) {
+    store_.readAll([this](const std::optional<std::vector<routing::CrashUpdate>> &kept) {
         if (kept)
             onRead(*kept);
         else
@@ -33,24 +33,24 @@
     });
 }
 
-void QuarantineKeeper::onRead(const std::vector<routing::CrashNews> &kept)
+void QuarantinePersister::onRead(const std::vector<routing::CrashUpdate> &kept)
 {
     const units::TimePoint now = timers_.now();
     std::set<routing::RequestIdentity> requests;
-    for (const routing::CrashNews &news : kept) {
-        crashes_.hear(news, now);
+    for (const routing::CrashUpdate &news : kept) {
+        crashes_.receive(news, now);
         requests.insert(news.request);
     }
     for (const routing::RequestIdentity &request : requests) {
-        if (!crashes_.quarantineLeft(request, now))
+        if (!crashes_.quarantineRemaining(request, now))
             store_.remove(request); // it is over
     }
 }
 
-void QuarantineKeeper::round()
+void QuarantinePersister::round()
 {
     const units::TimePoint now = timers_.now();
-    for (const routing::RequestIdentity &request : crashes_.quarantinedHere(now)) {
+    for (const routing::RequestIdentity &request : crashes_.locallyQuarantined(now)) {
         if (!saved_.insert(request).second)
             continue;
         store_.save(request, crashes_.crashesOf(request, now), [this, request](bool isSaved) {
@@ -59,7 +59,7 @@
         });
     }
     for (auto request = saved_.begin(); request != saved_.end();) {
-        if (crashes_.quarantineLeft(*request, now)) {
+        if (crashes_.quarantineRemaining(*request, now)) {
             ++request;
             continue;
         }
--- a/src/gateway/trafficlog.cpp
+++ b/src/gateway/ratelimitedlog.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/gateway/trafficlog.h>
+#include <monsoongrade/gateway/ratelimitedlog.h>
 
 namespace monsoongrade::gateway {
 
@@ -11,12 +11,12 @@
 
 } // namespace
 
-TrafficLog::TrafficLog(httpio::Timers &timers)
+RateLimitedLog::RateLimitedLog(httpio::Timers &timers)
     : timers_(timers)
 {
 }
 
-bool TrafficLog::mayWrite(std::string_view event)
+bool RateLimitedLog::mayWrite(std::string_view event)
 {
     auto found = budgets_.find(event);
     if (found == budgets_.end())
@@ -38,8 +38,8 @@
     return true;
 }
 
-void TrafficLog::write(observability::LogLevel level, std::string_view event,
-                       std::initializer_list<observability::LogField> fields)
+void RateLimitedLog::write(observability::LogLevel level, std::string_view event,
+                           std::initializer_list<observability::LogField> fields)
 {
     if (mayWrite(event))
         observability::log(level, event, fields);
--- a/src/gateway/firstread.cpp
+++ b/src/gateway/startupgate.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/gateway/firstread.h>
+#include <monsoongrade/gateway/startupgate.h>
 
 #include <utility>
 
@@ -11,32 +11,32 @@
 
 } // namespace
 
-FirstRead::FirstRead(httpio::Timers &timers)
+StartupGate::StartupGate(httpio::Timers &timers)
     : timers_(timers)
     , waitEndsAt_(timers.now() + WaitFromStart)
 {
 }
 
-void FirstRead::onConfiguration()
+void StartupGate::onConfiguration()
 {
     hasConfiguration_ = true;
     if (isComplete())
         release();
 }
 
-void FirstRead::onEndpoints()
+void StartupGate::onEndpoints()
 {
     hasEndpoints_ = true;
     if (isComplete())
         release();
 }
 
-bool FirstRead::isAwaited() const
+bool StartupGate::isAwaited() const
 {
     return !isComplete() && timers_.now() < waitEndsAt_;
 }
 
-void FirstRead::await(std::function<void()> function)
+void StartupGate::await(std::function<void()> function)
 {
     waiting_.push_back(std::move(function));
     if (!isTimerSet_)
@@ -44,7 +44,7 @@
     isTimerSet_ = true;
 }
 
-void FirstRead::release()
+void StartupGate::release()
 {
     std::vector<std::function<void()>> waiting;
     waiting.swap(waiting_);
--- a/src/gateway/usagemeter.cpp
+++ b/src/gateway/usagemeter.cpp
@@ -53,7 +53,7 @@
 } // namespace
 
 UsageMeter::UsageMeter(asio::io_context &io, httpio::Timers &timers, Settings settings,
-                       std::function<std::vector<routing::PeerNews>()> hosts)
+                       std::function<std::vector<routing::PeerUpdate>()> hosts)
     : socket_(io)
     , timers_(timers)
     , settings_(std::move(settings))
@@ -84,7 +84,7 @@
 void UsageMeter::onBegan(const units::WorkspaceName &workspace)
 {
     if (!workspace.isEmpty())
-        ledger_.count(settings_.windows.at(now()), workspace);
+        ledger_.increment(settings_.windows.windowAt(now()), workspace);
 }
 
 void UsageMeter::onWallTime(const std::string &host, units::Duration sinceEpoch)
@@ -94,17 +94,18 @@
 
 void UsageMeter::round()
 {
-    const duties::WindowNumber oldest = settings_.windows.at(now() - settings_.windows.dueWithin);
-    ledger_.forgetBefore(duties::WindowNumber(oldest.value() - 1));
+    const duties::WindowNumber oldest
+        = settings_.windows.windowAt(now() - settings_.windows.dueWithin);
+    ledger_.eraseBefore(duties::WindowNumber(oldest.value() - 1));
     tell();
-    timers_.after(duties::CountTelling::interval(hosts_().size()), [this] { round(); });
+    timers_.after(duties::UsagePublisher::interval(hosts_().size()), [this] { round(); });
 }
 
 void UsageMeter::tell()
 {
-    const std::vector<std::string> keepers = duties::countKeepers(hosts_());
-    for (const duties::CountNews &news : telling_.round(keepers, ledger_, timers_.now()))
-        send(news.keeper, news.entries);
+    const std::vector<std::string> keepers = duties::usageCollectors(hosts_());
+    for (const duties::UsageUpdate &news : telling_.nextUpdates(keepers, ledger_, timers_.now()))
+        send(news.collector, news.entries);
 }
 
 void UsageMeter::send(const std::string &ip, const std::vector<duties::UsageEntry> &entries)
@@ -116,7 +117,7 @@
     for (std::size_t begin = 0; begin < entries.size(); begin += MaxEntries) {
         const std::size_t end = std::min(begin + MaxEntries, entries.size());
         const std::string datagram
-            = encode(ledger_.self(), entries.data() + begin, entries.data() + end);
+            = encode(ledger_.sourceId(), entries.data() + begin, entries.data() + end);
         socket_.send_to(asio::buffer(datagram), {address, settings_.port}, 0, error);
         // A datagram that can't be sent counts as lost; all is told again soon.
     }
--- a/src/httpio/channel.cpp
+++ b/src/httpio/channel.cpp
@@ -45,7 +45,7 @@
                           });
 }
 
-void Channel::send(std::string head, std::shared_ptr<const std::string> body, ChannelUser &user)
+void Channel::send(std::string head, std::shared_ptr<const std::string> body, ChannelListener &user)
 {
     user_ = &user;
     onUnusable_ = nullptr;
@@ -115,7 +115,7 @@
     read();
 }
 
-bool Channel::looksIdle()
+bool Channel::isStillIdle()
 {
     char byte = 0;
     const auto count = recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -191,7 +191,7 @@
 
 void Channel::fail(ChannelFailure failure)
 {
-    ChannelUser *user = user_;
+    ChannelListener *user = user_;
     close();
     if (user != nullptr)
         user->onChannelFailure(failure);
--- a/src/httpio/internal/serverconnection.cpp
+++ b/src/httpio/internal/serverconnection.cpp
@@ -23,7 +23,7 @@
 constexpr int StatusHeadTooLarge = 431;
 constexpr int StatusUnavailable = 503;
 
-class ConnectionReply : public Reply
+class ConnectionReply : public ResponseWriter
 {
 public:
     ConnectionReply(std::shared_ptr<ServerConnection> connection, std::uint64_t number)
@@ -61,7 +61,7 @@
     {
         return isCurrent() ? connection_->unsentBytes() : 0;
     }
-    void onClientGone(std::function<void()> handler) override
+    void onClientDisconnected(std::function<void()> handler) override
     {
         if (isCurrent())
             connection_->setOnClientGone(std::move(handler));
--- a/src/httpio/wholeevents.cpp
+++ b/src/httpio/sseeventbuffer.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/httpio/wholeevents.h>
+#include <monsoongrade/httpio/sseeventbuffer.h>
 
 #include <algorithm>
 #include <utility>
@@ -23,7 +23,7 @@
 
 } // namespace
 
-std::string WholeEvents::take(std::string_view bytes)
+std::string SseEventBuffer::feed(std::string_view bytes)
 {
     rest_.append(bytes);
     const std::size_t length = lengthOfWholeEvents(rest_);
@@ -41,7 +41,7 @@
     return whole;
 }
 
-std::string WholeEvents::takeRest()
+std::string SseEventBuffer::takePartialEvent()
 {
     return std::exchange(rest_, {});
 }
--- a/src/requests/answerrelay.cpp
+++ b/src/requests/answerrelay.cpp
@@ -27,12 +27,12 @@
 
 void AnswerRelay::take(std::string_view bytes)
 {
-    write(passesEvents_ ? events_.take(bytes) : std::string(bytes));
+    write(passesEvents_ ? events_.feed(bytes) : std::string(bytes));
 }
 
-void AnswerRelay::takeRest()
+void AnswerRelay::takePartialEvent()
 {
-    write(events_.takeRest());
+    write(events_.takePartialEvent());
 }
 
 void AnswerRelay::write(std::string bytes)
@@ -60,7 +60,7 @@
 
 void AnswerRelay::breakOff(const Refusal &refusal)
 {
-    if (passesEvents_ && events_.isAtBoundary()) {
+    if (passesEvents_ && events_.isAtEventBoundary()) {
         responder_.write(refusalEvent(refusal), {});
         responder_.end();
     } else {
--- a/src/requests/internal/ownheaders.cpp
+++ b/src/requests/internal/gatewayheaders.cpp
@@ -1,4 +1,4 @@
-#include <requests/internal/ownheaders.h>
+#include <requests/internal/gatewayheaders.h>
 
 namespace monsoongrade::requests::internal {
 
--- a/src/requests/requestflow.cpp
+++ b/src/requests/requestflow.cpp
@@ -190,8 +190,8 @@
     attempt_.end = endpointEnd;
     attempt_.answerStarted = relay_.hasBegun();
     if (endpointEnd.code == ResultCode::Ok && relay_.passesEvents() && isEventStream()
-        && relay_.isAtBoundary())
-        relay_.takeRest();
+        && relay_.isAtEventBoundary())
+        relay_.takePartialEvent();
     if (relay_.passesEvents())
         attempt_.truncated = !relay_.isClosed();
     else
@@ -199,7 +199,8 @@
             = !internal::hasKnownEnd(attempt_.status, request_.method, answerHeaders_);
     if (attempt_.truncated && attempt_.end.code == ResultCode::Ok)
         attempt_.end.code = ResultCode::EndpointBrokeInAnswer;
-    attempt_.resumable = request_.pool.canResume && relay_.passesEvents() && relay_.isAtBoundary();
+    attempt_.resumable
+        = request_.pool.canResume && relay_.passesEvents() && relay_.isAtEventBoundary();
 }
 
 void RequestFlow::followUp(NextStep next, ResultCode code)
@@ -332,7 +333,7 @@
     attempt_ = AttemptResult();
     attempt_.attemptsMade = made;
     wholeBody_.clear();
-    relay_.dropRest();
+    relay_.discardPartialEvent();
     answerHeaders_.clear();
     backOff();
 }
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-Admission admit(const RouteTable *table, bool isFresh, const RequestFacts &facts,
+Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &facts,
                 std::string_view target)
 {
     if (table == nullptr)
--- a/src/routing/placingtrust.cpp
+++ b/src/routing/coordinatorselector.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/placingtrust.h>
+#include <monsoongrade/routing/coordinatorselector.h>
 
 namespace monsoongrade::routing {
 
@@ -10,12 +10,13 @@
 
 } // namespace
 
-void PlacingTrust::onAnswer(const std::string &host)
+void CoordinatorSelector::onAnswer(const std::string &host)
 {
     hosts_[host].silentSince.reset();
 }
 
-bool PlacingTrust::onMissed(const std::string &host, units::TimePoint asked, units::TimePoint now)
+bool CoordinatorSelector::onAnswerOverdue(const std::string &host, units::TimePoint asked,
+                                          units::TimePoint now)
 {
     Trust &trust = hosts_[host];
     if (!trust.silentSince)
@@ -26,8 +27,8 @@
     return true;
 }
 
-std::string PlacingTrust::hostToAsk(const std::vector<std::string> &order, const std::string &own,
-                                    units::TimePoint now) const
+std::string CoordinatorSelector::selectHost(const std::vector<std::string> &order,
+                                            const std::string &own, units::TimePoint now) const
 {
     for (const std::string &host : order) {
         if (host == own)
--- a/src/routing/crashledger.cpp
+++ b/src/routing/crashtracker.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/crashledger.h>
+#include <monsoongrade/routing/crashtracker.h>
 
 #include <algorithm>
 
@@ -20,30 +20,30 @@
 
 } // namespace
 
-void CrashLedger::onCrash(const RequestIdentity &request, const EndpointStart &endpoint,
-                          units::TimePoint now)
+void CrashTracker::onCrash(const RequestIdentity &request, const EndpointInstance &endpoint,
+                           units::TimePoint now)
 {
-    const CrashNews news{CrashNews::Kind::Crashed, request, endpoint, {}};
+    const CrashUpdate news{CrashUpdate::Kind::Crashed, request, endpoint, {}};
     if (isCleared(news, now, now) || !addCrash(news, now, now))
         return;
     records_[request].wasSeenHere = true;
     tellLater(news, now);
 }
 
-void CrashLedger::onCompleted(const RequestIdentity &request, units::TimePoint now)
+void CrashTracker::onCompleted(const RequestIdentity &request, units::TimePoint now)
 {
     completions_.add(request, now);
     if (complete(request, now))
-        tellLater({CrashNews::Kind::Completed, request, {}, {}}, now);
+        tellLater({CrashUpdate::Kind::Completed, request, {}, {}}, now);
 }
 
-void CrashLedger::onAnswered(const EndpointStart &endpoint, units::TimePoint sentAt)
+void CrashTracker::onAnswered(const EndpointInstance &endpoint, units::TimePoint sentAt)
 {
     if (acquit(endpoint, sentAt))
-        tellLater({CrashNews::Kind::EndpointAnswered, {}, endpoint, {}}, sentAt);
+        tellLater({CrashUpdate::Kind::EndpointAnswered, {}, endpoint, {}}, sentAt);
 }
 
-void CrashLedger::hear(const CrashNews &news, units::TimePoint now)
+void CrashTracker::receive(const CrashUpdate &news, units::TimePoint now)
 {
     const units::TimePoint at = now - news.age;
     if (learn(news, at, now))
@@ -51,7 +51,7 @@
 }
 
 // Whether the request was answered here shortly before; the other hosts are then told.
-bool CrashLedger::isCleared(const CrashNews &crash, units::TimePoint at, units::TimePoint now)
+bool CrashTracker::isCleared(const CrashUpdate &crash, units::TimePoint at, units::TimePoint now)
 {
     if (!completions_.contains(crash.request, now))
         return false;
@@ -65,25 +65,25 @@
         record.completedAt = at;
         record.changedAt = std::max(record.changedAt, at);
         record.crashes.clear();
-        tellLater({CrashNews::Kind::Completed, crash.request, {}, {}}, at);
+        tellLater({CrashUpdate::Kind::Completed, crash.request, {}, {}}, at);
     }
     return true;
 }
 
-bool CrashLedger::learn(const CrashNews &news, units::TimePoint at, units::TimePoint now)
+bool CrashTracker::learn(const CrashUpdate &news, units::TimePoint at, units::TimePoint now)
 {
     switch (news.kind) {
-    case CrashNews::Kind::Crashed:
+    case CrashUpdate::Kind::Crashed:
         return !isCleared(news, at, now) && addCrash(news, at, now);
-    case CrashNews::Kind::Completed:
+    case CrashUpdate::Kind::Completed:
         return complete(news.request, at);
-    case CrashNews::Kind::EndpointAnswered:
+    case CrashUpdate::Kind::EndpointAnswered:
         return acquit(news.endpoint, at);
     }
     return false;
 }
 
-bool CrashLedger::addCrash(const CrashNews &news, units::TimePoint at, units::TimePoint now)
+bool CrashTracker::addCrash(const CrashUpdate &news, units::TimePoint at, units::TimePoint now)
 {
     Suspect &suspect = suspects_[news.endpoint];
     if (suspect.answeredAt && at < *suspect.answeredAt)
@@ -115,7 +115,7 @@
     return true;
 }
 
-bool CrashLedger::acquit(const EndpointStart &endpoint, units::TimePoint sentAt)
+bool CrashTracker::acquit(const EndpointInstance &endpoint, units::TimePoint sentAt)
 {
     const auto found = suspects_.find(endpoint);
     if (found == suspects_.end() || sentAt <= found->second.brokeAt)
@@ -136,7 +136,7 @@
     return true;
 }
 
-bool CrashLedger::complete(const RequestIdentity &request, units::TimePoint at)
+bool CrashTracker::complete(const RequestIdentity &request, units::TimePoint at)
 {
     const auto found = records_.find(request);
     if (found == records_.end())
@@ -153,7 +153,7 @@
     return isCleared;
 }
 
-std::optional<units::TimePoint> CrashLedger::quarantineEnd(const Record &record)
+std::optional<units::TimePoint> CrashTracker::quarantineEnd(const Record &record)
 {
     if (record.crashes.size() < CrashesToQuarantine)
         return std::nullopt;
@@ -161,14 +161,14 @@
     return record.crashes.back().at + units::Duration(FirstQuarantine) * (1 << doublings);
 }
 
-bool CrashLedger::isQuarantined(const Record &record, units::TimePoint now)
+bool CrashTracker::isQuarantined(const Record &record, units::TimePoint now)
 {
     const auto end = quarantineEnd(record);
     return end && now < *end;
 }
 
-std::optional<units::Duration> CrashLedger::quarantineLeft(const RequestIdentity &request,
-                                                           units::TimePoint now) const
+std::optional<units::Duration> CrashTracker::quarantineRemaining(const RequestIdentity &request,
+                                                                 units::TimePoint now) const
 {
     const auto found = records_.find(request);
     if (found == records_.end() || !isQuarantined(found->second, now))
@@ -176,14 +176,14 @@
     return *quarantineEnd(found->second) - now;
 }
 
-std::size_t CrashLedger::quarantined(units::TimePoint now) const
+std::size_t CrashTracker::quarantinedCount(units::TimePoint now) const
 {
     return std::size_t(std::count_if(records_.begin(), records_.end(), [now](const auto &record) {
         return isQuarantined(record.second, now);
     }));
 }
 
-std::vector<RequestIdentity> CrashLedger::quarantinedHere(units::TimePoint now) const
+std::vector<RequestIdentity> CrashTracker::locallyQuarantined(units::TimePoint now) const
 {
     std::vector<RequestIdentity> requests;
     for (const auto &[request, record] : records_) {
@@ -193,27 +193,27 @@
     return requests;
 }
 
-std::vector<CrashNews> CrashLedger::crashesOf(const RequestIdentity &request,
-                                              units::TimePoint now) const
+std::vector<CrashUpdate> CrashTracker::crashesOf(const RequestIdentity &request,
+                                                 units::TimePoint now) const
 {
-    std::vector<CrashNews> news;
+    std::vector<CrashUpdate> news;
     const auto found = records_.find(request);
     if (found != records_.end())
         appendCrashes(*found, news, now);
     return news;
 }
 
-void CrashLedger::tellLater(const CrashNews &news, units::TimePoint at)
+void CrashTracker::tellLater(const CrashUpdate &news, units::TimePoint at)
 {
     if (fresh_.size() >= MaxFresh)
         fresh_.pop_front();
     fresh_.push_back({news, at, RoundsToTell});
 }
 
-std::vector<CrashNews> CrashLedger::takeNews(std::size_t maxItems, units::TimePoint now)
+std::vector<CrashUpdate> CrashTracker::takeUpdates(std::size_t maxItems, units::TimePoint now)
 {
     forgetOld(now);
-    std::vector<CrashNews> news;
+    std::vector<CrashUpdate> news;
     for (std::size_t left = std::min(maxItems, fresh_.size()); left > 0; --left) {
         Telling telling = std::move(fresh_.front());
         fresh_.pop_front();
@@ -236,9 +236,10 @@
     return news;
 }
 
-std::vector<CrashNews> CrashLedger::quarantineNews(std::size_t maxItems, units::TimePoint now) const
+std::vector<CrashUpdate> CrashTracker::quarantineNews(std::size_t maxItems,
+                                                      units::TimePoint now) const
 {
-    std::vector<CrashNews> news;
+    std::vector<CrashUpdate> news;
     for (const auto &record : records_) {
         if (isQuarantined(record.second, now) && news.size() + MaxCrashesKept <= maxItems)
             appendCrashes(record, news, now);
@@ -246,15 +247,15 @@
     return news;
 }
 
-void CrashLedger::appendCrashes(const Records::value_type &record, std::vector<CrashNews> &news,
-                                units::TimePoint now)
+void CrashTracker::appendCrashes(const Records::value_type &record, std::vector<CrashUpdate> &news,
+                                 units::TimePoint now)
 {
     for (const Crash &crash : record.second.crashes)
-        news.push_back({CrashNews::Kind::Crashed, record.first, crash.endpoint, now - crash.at});
+        news.push_back({CrashUpdate::Kind::Crashed, record.first, crash.endpoint, now - crash.at});
 }
 
 // Gives up the record that has not changed for the longest time, a quarantined one last.
-void CrashLedger::makeRoom(units::TimePoint now)
+void CrashTracker::makeRoom(units::TimePoint now)
 {
     if (records_.size() < MaxRecords)
         return;
@@ -266,7 +267,7 @@
     records_.erase(std::min_element(records_.begin(), records_.end(), isLessNeeded));
 }
 
-void CrashLedger::forgetOld(units::TimePoint now)
+void CrashTracker::forgetOld(units::TimePoint now)
 {
     if (now < nextCleaning_)
         return;
--- a/src/routing/endpointhealth.cpp
+++ b/src/routing/endpointhealth.cpp
@@ -80,7 +80,7 @@
         suspendedUntil_ = now + MaxPause;
 }
 
-double EndpointHealth::failureShare(units::TimePoint now) const
+double EndpointHealth::failureRate(units::TimePoint now) const
 {
     return failureShare_ == 0 ? 0 : failureShare_ * remembered(failureShareAt_, now);
 }
@@ -92,7 +92,7 @@
 
 void EndpointHealth::addResult(double failed, units::TimePoint now)
 {
-    const double before = failureShare(now);
+    const double before = failureRate(now);
     failureShare_ = before + (failed - before) * ResultWeight;
     failureShareAt_ = now;
 }
--- a/src/routing/endpointpace.cpp
+++ b/src/routing/endpointratelimiter.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/endpointpace.h>
+#include <monsoongrade/routing/endpointratelimiter.h>
 
 #include <algorithm>
 #include <cmath>
@@ -16,8 +16,8 @@
 
 } // namespace
 
-bool EndpointPace::setLimit(std::optional<RequestsPerSecond> limit, double phase,
-                            units::TimePoint now)
+bool EndpointRateLimiter::setLimit(std::optional<RequestsPerSecond> limit, double phase,
+                                   units::TimePoint now)
 {
     if (limit == limit_)
         return false;
@@ -31,12 +31,12 @@
     return true;
 }
 
-bool EndpointPace::allows(double share, units::TimePoint now) const
+bool EndpointRateLimiter::allows(double share, units::TimePoint now) const
 {
     return !limit_ || (debtAt(share, now) <= MaxDebt && (share >= 1 || isOwnTurn(share, now)));
 }
 
-bool EndpointPace::isOwnTurn(double share, units::TimePoint now) const
+bool EndpointRateLimiter::isOwnTurn(double share, units::TimePoint now) const
 {
     const double seconds = std::chrono::duration<double>(now - limitedSince_).count();
     const double turns = seconds * std::max(*limit_, MinPerSecond) * share - phase_;
@@ -45,7 +45,7 @@
     return turns >= 0 && sinceTurn <= TurnSeconds;
 }
 
-void EndpointPace::onPlaced(double share, units::TimePoint now)
+void EndpointRateLimiter::onPlaced(double share, units::TimePoint now)
 {
     if (!limit_)
         return;
@@ -53,7 +53,7 @@
     debtSince_ = now;
 }
 
-double EndpointPace::debtAt(double share, units::TimePoint now) const
+double EndpointRateLimiter::debtAt(double share, units::TimePoint now) const
 {
     const double seconds = std::chrono::duration<double>(now - debtSince_).count();
     return std::max(0.0, debt_ - seconds * std::max(*limit_, MinPerSecond) * share);
--- a/src/routing/endpointroster.cpp
+++ b/src/routing/endpointregistry.cpp
@@ -1,16 +1,16 @@
-#include <monsoongrade/routing/endpointroster.h>
+#include <monsoongrade/routing/endpointregistry.h>
 
 #include <algorithm>
 
 namespace monsoongrade::routing {
 
-EndpointRoster::EndpointRoster(OnLeaving onLeaving)
+EndpointRegistry::EndpointRegistry(OnLeaving onLeaving)
     : onLeaving_(std::move(onLeaving))
 {
 }
 
-void EndpointRoster::replaceAll(const std::vector<DiscoveredEndpoint> &listed, units::TimePoint now,
-                                units::TimePoint keepMissingUntil)
+void EndpointRegistry::replaceAll(const std::vector<DiscoveredEndpoint> &listed,
+                                  units::TimePoint now, units::TimePoint keepMissingUntil)
 {
     std::set<std::string> present;
     for (const DiscoveredEndpoint &endpoint : listed) {
@@ -21,28 +21,28 @@
         if (present.count(id) == 0)
             miss(id, entry, now, keepMissingUntil);
     }
-    dropMissing(now);
+    removeExpired(now);
 }
 
-void EndpointRoster::update(const DiscoveredEndpoint &endpoint)
+void EndpointRegistry::update(const DiscoveredEndpoint &endpoint)
 {
     Entry &entry = entries_[endpoint.id.value()];
     const bool isSame = entry.status != nullptr
-        && entry.status->described.incarnation == endpoint.incarnation
-        && entry.status->described.address == endpoint.address
-        && entry.status->described.pool == endpoint.pool;
+        && entry.status->registration.incarnation == endpoint.incarnation
+        && entry.status->registration.address == endpoint.address
+        && entry.status->registration.pool == endpoint.pool;
     if (!isSame) {
         // A restarted endpoint knows nothing of the requests and cache of the one before it, so
         // its load and health start anew. Requests of the old one keep the old status.
         if (entry.status != nullptr) {
             leave(entry);
-            countOut(entry.status->described.pool);
+            countOut(entry.status->registration.pool);
         }
         entry.status = std::make_shared<EndpointStatus>();
         countIn(endpoint.pool);
     }
     missing_.erase(endpoint.id.value());
-    entry.status->described = endpoint;
+    entry.status->registration = endpoint;
     if (endpoint.draining) {
         leave(entry);
         return;
@@ -51,17 +51,17 @@
     addAvailable(entry.status);
 }
 
-void EndpointRoster::remove(const units::EndpointId &id, units::TimePoint now,
-                            units::TimePoint keepMissingUntil)
+void EndpointRegistry::remove(const units::EndpointId &id, units::TimePoint now,
+                              units::TimePoint keepMissingUntil)
 {
     const auto found = entries_.find(id.value());
     if (found == entries_.end())
         return;
     miss(found->first, found->second, now, keepMissingUntil);
-    dropMissing(now);
+    removeExpired(now);
 }
 
-void EndpointRoster::dropMissing(units::TimePoint now)
+void EndpointRegistry::removeExpired(units::TimePoint now)
 {
     for (auto missing = missing_.begin(); missing != missing_.end();) {
         const auto entry = entries_.find(*missing);
@@ -71,13 +71,13 @@
             continue;
         }
         leave(entry->second);
-        countOut(entry->second.status->described.pool);
+        countOut(entry->second.status->registration.pool);
         entries_.erase(entry);
         missing = missing_.erase(missing);
     }
 }
 
-void EndpointRoster::divide(FleetDivision division, std::uint32_t ownCell)
+void EndpointRegistry::setDivision(FleetDivision division, std::uint32_t ownCell)
 {
     if (division == division_ && ownCell == ownCell_)
         return;
@@ -90,15 +90,15 @@
     }
 }
 
-const std::vector<EndpointRoster::Status> &
-EndpointRoster::available(const units::PoolName &pool) const
+const std::vector<EndpointRegistry::Status> &
+EndpointRegistry::available(const units::PoolName &pool) const
 {
     static const std::vector<Status> None;
     const auto found = available_.find(pool.value());
     return found == available_.end() ? None : found->second;
 }
 
-EndpointRoster::Status EndpointRoster::findAvailable(const units::EndpointId &id) const
+EndpointRegistry::Status EndpointRegistry::findAvailable(const units::EndpointId &id) const
 {
     const auto found = entries_.find(id.value());
     const bool isAvailable = found != entries_.end() && !found->second.status->leaving
@@ -106,25 +106,25 @@
     return isAvailable ? found->second.status : nullptr;
 }
 
-std::vector<DiscoveredEndpoint> EndpointRoster::listed(const units::PoolName &pool) const
+std::vector<DiscoveredEndpoint> EndpointRegistry::listed(const units::PoolName &pool) const
 {
     std::vector<DiscoveredEndpoint> found;
     for (const auto &[id, entry] : entries_) {
-        if (entry.status->described.pool == pool)
-            found.push_back(entry.status->described);
+        if (entry.status->registration.pool == pool)
+            found.push_back(entry.status->registration);
     }
     return found;
 }
 
-EndpointRoster::Status EndpointRoster::find(const EndpointStart &endpoint) const
+EndpointRegistry::Status EndpointRegistry::find(const EndpointInstance &endpoint) const
 {
     const auto found = entries_.find(endpoint.id.value());
     const bool isSame = found != entries_.end()
-        && found->second.status->described.incarnation == endpoint.incarnation;
+        && found->second.status->registration.incarnation == endpoint.incarnation;
     return isSame ? found->second.status : nullptr;
 }
 
-void EndpointRoster::leave(Entry &entry)
+void EndpointRegistry::leave(Entry &entry)
 {
     removeAvailable(entry.status);
     if (entry.status->leaving)
@@ -134,55 +134,55 @@
         onLeaving_(*entry.status);
 }
 
-void EndpointRoster::miss(const std::string &id, Entry &entry, units::TimePoint now,
-                          units::TimePoint keepMissingUntil)
+void EndpointRegistry::miss(const std::string &id, Entry &entry, units::TimePoint now,
+                            units::TimePoint keepMissingUntil)
 {
     if (missing_.insert(id).second)
         entry.keepUntil = std::max(now, keepMissingUntil);
 }
 
 // Where the endpoint is or belongs in the list, which is in the order of ids.
-std::vector<EndpointRoster::Status>::iterator
-EndpointRoster::placeIn(std::vector<Status> &available, const units::EndpointId &id)
+std::vector<EndpointRegistry::Status>::iterator
+EndpointRegistry::placeIn(std::vector<Status> &available, const units::EndpointId &id)
 {
     return std::lower_bound(available.begin(), available.end(), id,
                             [this](const Status &each, const units::EndpointId &wanted) {
                                 work_.add();
-                                return each->described.id < wanted;
+                                return each->registration.id < wanted;
                             });
 }
 
-bool EndpointRoster::isInOwnCell(const EndpointStatus &status) const
+bool EndpointRegistry::isInOwnCell(const EndpointStatus &status) const
 {
-    return division_.isUsedIn(ownCell_, status.described.pool, status.described.id);
+    return division_.isUsedIn(ownCell_, status.registration.pool, status.registration.id);
 }
 
-void EndpointRoster::countIn(const units::PoolName &pool)
+void EndpointRegistry::countIn(const units::PoolName &pool)
 {
     ++sizes_[pool.value()];
 }
 
-void EndpointRoster::countOut(const units::PoolName &pool)
+void EndpointRegistry::countOut(const units::PoolName &pool)
 {
     const auto size = sizes_.find(pool.value());
     if (size != sizes_.end() && --size->second == 0)
         sizes_.erase(size);
 }
 
-void EndpointRoster::addAvailable(const Status &status)
+void EndpointRegistry::addAvailable(const Status &status)
 {
     if (!isInOwnCell(*status))
         return;
-    std::vector<Status> &available = available_[status->described.pool.value()];
-    const auto place = placeIn(available, status->described.id);
+    std::vector<Status> &available = available_[status->registration.pool.value()];
+    const auto place = placeIn(available, status->registration.id);
     if (place == available.end() || *place != status)
         available.insert(place, status);
 }
 
-void EndpointRoster::removeAvailable(const Status &status)
+void EndpointRegistry::removeAvailable(const Status &status)
 {
-    std::vector<Status> &available = available_[status->described.pool.value()];
-    const auto place = placeIn(available, status->described.id);
+    std::vector<Status> &available = available_[status->registration.pool.value()];
+    const auto place = placeIn(available, status->registration.id);
     if (place != available.end() && *place == status)
         available.erase(place);
 }
--- a/src/routing/gossiprounds.cpp
+++ b/src/routing/gossipplanner.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/gossiprounds.h>
+#include <monsoongrade/routing/gossipplanner.h>
 
 #include <monsoongrade/routing/storereaders.h>
 
@@ -21,39 +21,39 @@
 
 } // namespace
 
-GossipRounds::GossipRounds(std::string ownIp, std::uint32_t seed)
+GossipPlanner::GossipPlanner(std::string ownIp, std::uint32_t seed)
     : ownIp_(std::move(ownIp))
     , random_(seed)
 {
 }
 
-GossipRounds::Round GossipRounds::next(PeerTable &table, units::TimePoint now)
+GossipPlanner::Round GossipPlanner::next(PeerTable &table, units::TimePoint now)
 {
     Round round;
     if (table.isLarge())
-        round.toProbe = watch(table, now);
-    round.addressees = addressees(table, now);
-    if (!round.addressees.empty())
+        round.probeTargets = watch(table, now);
+    round.recipients = recipients(table, now);
+    if (!round.recipients.empty())
         round.news = news(table, now);
     return round;
 }
 
-std::vector<std::string> GossipRounds::watch(PeerTable &table, units::TimePoint now)
+std::vector<std::string> GossipPlanner::watch(PeerTable &table, units::TimePoint now)
 {
     // Beyond a silent host there may be others whose watchers are all lost.
     const std::size_t maxWatched = std::min(MaxWatchers + silent_, MaxWatched);
     RingNeighbours neighbours = ringNeighbours(ownIp_, table.liveIps(now), MaxWatchers, maxWatched);
     watchers_ = std::move(neighbours.watchers);
-    PeerWatch::Judgement judgement = watch_.judge(neighbours.watched, now);
-    silent_ = judgement.toProbe.size() + judgement.lost.size();
+    PeerFailureDetector::Judgement judgement = watch_.judge(neighbours.watched, now);
+    silent_ = judgement.probeTargets.size() + judgement.lost.size();
     for (const std::string &ip : judgement.lost)
-        table.noteLost(ip, now);
-    return std::move(judgement.toProbe);
+        table.markLost(ip, now);
+    return std::move(judgement.probeTargets);
 }
 
-std::vector<std::string> GossipRounds::addressees(const PeerTable &table, units::TimePoint now)
+std::vector<std::string> GossipPlanner::recipients(const PeerTable &table, units::TimePoint now)
 {
-    std::vector<std::string> ips = table.addressees(now);
+    std::vector<std::string> ips = table.recipients(now);
     std::shuffle(ips.begin(), ips.end(), random_);
     if (table.isLarge())
         ips.insert(ips.begin(), watchers_.begin(), watchers_.end());
@@ -61,28 +61,29 @@
     return ips;
 }
 
-std::vector<PeerNews> GossipRounds::news(PeerTable &table, units::TimePoint now)
+std::vector<PeerUpdate> GossipPlanner::news(PeerTable &table, units::TimePoint now)
 {
     if (!table.isLarge())
-        return newsForNewcomer(table, now);
-    std::vector<PeerNews> news = table.takeChanges(MaxDescribed, now, random_);
+        return newsForJoiningHost(table, now);
+    std::vector<PeerUpdate> news = table.takeChanges(MaxDescribed, now, random_);
     if (news.size() >= MinDescribed)
         return news;
-    for (PeerNews &peer : table.sample(MinDescribed - news.size(), now, random_))
+    for (PeerUpdate &peer : table.sample(MinDescribed - news.size(), now, random_))
         news.push_back(std::move(peer));
     return news;
 }
 
-std::vector<PeerNews> GossipRounds::newsForNewcomer(const PeerTable &table, units::TimePoint now)
+std::vector<PeerUpdate> GossipPlanner::newsForJoiningHost(const PeerTable &table,
+                                                          units::TimePoint now)
 {
     // Others each time: in a fleet with more hosts than one datagram holds, news of those that are
     // always left out would only come from themselves, seconds apart, and they would look lost.
-    std::vector<PeerNews> hosts = table.live(now);
+    std::vector<PeerUpdate> hosts = table.live(now);
     std::shuffle(hosts.begin(), hosts.end(), random_);
     // But always those that read the store: a starting host that does not hear of them would ask
     // others, and make them read too.
-    const std::vector<std::string> readers = storeReaders(hosts, ReadersOfFleet);
-    std::stable_partition(hosts.begin(), hosts.end(), [&](const PeerNews &peer) {
+    const std::vector<std::string> readers = storeReaders(hosts, StoreReaderCount);
+    std::stable_partition(hosts.begin(), hosts.end(), [&](const PeerUpdate &peer) {
         return std::find(readers.begin(), readers.end(), peer.ip) != readers.end();
     });
     hosts.resize(std::min(hosts.size(), MaxDescribed));
