--- a/src/routing/peerwatch.cpp
+++ b/src/routing/peerfailuredetector.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/peerwatch.h>
+#include <monsoongrade/routing/peerfailuredetector.h>
 
 #include <monsoongrade/units/stablehash.h>
 
@@ -54,14 +54,15 @@
     return {nearest(std::move(after), maxWatchers), nearest(std::move(before), maxWatched)};
 }
 
-void PeerWatch::onHeartbeat(const std::string &ip, units::TimePoint now)
+void PeerFailureDetector::onHeartbeat(const std::string &ip, units::TimePoint now)
 {
     const auto watched = lastHeartbeatAt_.find(ip);
     if (watched != lastHeartbeatAt_.end())
         watched->second = now;
 }
 
-PeerWatch::Judgement PeerWatch::judge(const std::vector<std::string> &watched, units::TimePoint now)
+PeerFailureDetector::Judgement PeerFailureDetector::judge(const std::vector<std::string> &watched,
+                                                          units::TimePoint now)
 {
     const bool wasSuspended = now - lastJudgedAt_ >= SuspendedAfter;
     lastJudgedAt_ = now;
@@ -75,7 +76,7 @@
         if (now - at >= LostAfter)
             judgement.lost.push_back(ip);
         else if (now - at >= ProbeAfter)
-            judgement.toProbe.push_back(ip);
+            judgement.probeTargets.push_back(ip);
     }
     lastHeartbeatAt_ = std::move(lastHeartbeatAt);
     return judgement;
--- a/src/routing/peertable.cpp
+++ b/src/routing/peertable.cpp
@@ -27,16 +27,17 @@
 // A host that is lost may have spoken to others a moment after its last word here.
 constexpr auto SpokeElsewhere = std::chrono::milliseconds(300);
 
-units::TimePoint startOf(const PeerNews &news, units::TimePoint saidAt)
+units::TimePoint startOf(const PeerUpdate &news, units::TimePoint saidAt)
 {
     return saidAt - news.uptime;
 }
 
-bool isChange(const PeerNews &news, const PeerNews &known)
+bool isChange(const PeerUpdate &news, const PeerUpdate &known)
 {
     return news.state != known.state || news.isStoreRefused != known.isStoreRefused
         || news.dutyToken != known.dutyToken || news.uptime < known.uptime
-        || (news.storeFor > units::Duration::zero()) != (known.storeFor > units::Duration::zero());
+        || (news.storeReachableFor > units::Duration::zero())
+        != (known.storeReachableFor > units::Duration::zero());
 }
 
 } // namespace
@@ -47,7 +48,7 @@
     entry.news.ip = ip;
 }
 
-void PeerTable::hear(const PeerNews &news, units::TimePoint now)
+void PeerTable::receive(const PeerUpdate &news, units::TimePoint now)
 {
     Entry &entry = entries_[news.ip];
     const units::TimePoint saidAt = now - news.age;
@@ -63,7 +64,7 @@
     entry.hasSpoken = true;
 }
 
-bool PeerTable::isNewer(const PeerNews &news, const Entry &known, units::TimePoint now) const
+bool PeerTable::isNewer(const PeerUpdate &news, const Entry &known, units::TimePoint now) const
 {
     const units::TimePoint saidAt = now - news.age;
     if (!isLarge())
@@ -74,7 +75,7 @@
     return news.uptime > known.news.uptime;
 }
 
-void PeerTable::noteLost(const std::string &ip, units::TimePoint now)
+void PeerTable::markLost(const std::string &ip, units::TimePoint now)
 {
     const auto found = entries_.find(ip);
     if (found == entries_.end())
@@ -91,8 +92,8 @@
     return spoken_ > MaxHostsHeardByAge;
 }
 
-std::vector<PeerNews> PeerTable::takeChanges(std::size_t most, units::TimePoint now,
-                                             std::minstd_rand &random)
+std::vector<PeerUpdate> PeerTable::takeChanges(std::size_t most, units::TimePoint now,
+                                               std::minstd_rand &random)
 {
     std::vector<Entry *> changed;
     for (auto &[ip, entry] : entries_) {
@@ -104,17 +105,17 @@
     std::partial_sort(
         changed.begin(), changed.begin() + std::ptrdiff_t(most), changed.end(),
         [](const Entry *a, const Entry *b) { return a->transmitsLeft > b->transmitsLeft; });
-    std::vector<PeerNews> news;
+    std::vector<PeerUpdate> news;
     news.reserve(most);
     for (std::size_t i = 0; i < most; ++i) {
         --changed[i]->transmitsLeft;
-        news.push_back(newsOf(*changed[i], now));
+        news.push_back(updateFor(*changed[i], now));
     }
     return news;
 }
 
-std::vector<PeerNews> PeerTable::sample(std::size_t most, units::TimePoint now,
-                                        std::minstd_rand &random) const
+std::vector<PeerUpdate> PeerTable::sample(std::size_t most, units::TimePoint now,
+                                          std::minstd_rand &random) const
 {
     std::vector<const Entry *> live;
     for (const auto &[ip, entry] : entries_) {
@@ -123,16 +124,16 @@
     }
     std::vector<const Entry *> chosen;
     std::sample(live.begin(), live.end(), std::back_inserter(chosen), most, random);
-    std::vector<PeerNews> news;
+    std::vector<PeerUpdate> news;
     news.reserve(chosen.size());
     for (const Entry *entry : chosen)
-        news.push_back(newsOf(*entry, now));
+        news.push_back(updateFor(*entry, now));
     return news;
 }
 
-PeerNews PeerTable::newsOf(const Entry &entry, units::TimePoint now) const
+PeerUpdate PeerTable::updateFor(const Entry &entry, units::TimePoint now) const
 {
-    PeerNews news = entry.news;
+    PeerUpdate news = entry.news;
     news.age = now - entry.saidAt;
     return news;
 }
@@ -151,12 +152,12 @@
     return isLarge() || now - entry.saidAt < liveFor;
 }
 
-std::vector<PeerNews> PeerTable::live(units::TimePoint now) const
+std::vector<PeerUpdate> PeerTable::live(units::TimePoint now) const
 {
-    std::vector<PeerNews> found;
+    std::vector<PeerUpdate> found;
     for (const auto &[ip, entry] : entries_) {
         if (isLive(entry, now))
-            found.push_back(newsOf(entry, now));
+            found.push_back(updateFor(entry, now));
     }
     return found;
 }
@@ -171,7 +172,7 @@
     return found;
 }
 
-std::vector<std::string> PeerTable::addressees(units::TimePoint now) const
+std::vector<std::string> PeerTable::recipients(units::TimePoint now) const
 {
     std::vector<std::string> found;
     for (const auto &[ip, entry] : entries_) {
--- a/src/routing/placementquery.cpp
+++ b/src/routing/placementquery.cpp
@@ -4,9 +4,9 @@
 
 namespace monsoongrade::routing {
 
-PlacementQuery placementQuery(const RequestFacts &facts, const Route &route,
+PlacementQuery placementQuery(const RequestMetadata &facts, const Route &route,
                               const units::PoolName &poolName, const TrafficPool *pool,
-                              units::Tier tier, const units::FailureDomain &askersDomain)
+                              units::Tier tier, const units::FailureDomain &requesterDomain)
 {
     PlacementQuery query;
     query.pool = poolName;
@@ -16,7 +16,7 @@
     query.promptTokens = facts.promptTokens.value();
     query.ownTokens = query.promptTokens;
     query.tier = tier;
-    query.askersDomain = askersDomain;
+    query.requesterDomain = requesterDomain;
     if (facts.promptParts.empty())
         return query;
     const std::size_t parts = facts.promptParts.size();
--- a/src/routing/placinghosts.cpp
+++ b/src/routing/placinghosts.cpp
@@ -14,15 +14,15 @@
 
 struct Candidate
 {
-    const PeerNews *host = nullptr;
+    const PeerUpdate *host = nullptr;
     units::Duration age{};
     std::uint64_t hash = 0;
 };
 
-std::vector<Candidate> servingHosts(const std::vector<PeerNews> &hosts)
+std::vector<Candidate> servingHosts(const std::vector<PeerUpdate> &hosts)
 {
     std::vector<Candidate> serving;
-    for (const PeerNews &host : hosts) {
+    for (const PeerUpdate &host : hosts) {
         if (host.state == PeerState::Serving)
             serving.push_back({&host, host.uptime + host.age, units::spreadHash({host.ip})});
     }
@@ -39,7 +39,8 @@
 
 } // namespace
 
-std::vector<std::string> placingOrder(const std::vector<PeerNews> &hosts, units::WorkCount &work)
+std::vector<std::string> rankCoordinators(const std::vector<PeerUpdate> &hosts,
+                                          units::WorkCount &work)
 {
     std::vector<Candidate> serving = servingHosts(hosts);
     std::sort(serving.begin(), serving.end(), [&](const Candidate &a, const Candidate &b) {
--- a/src/routing/readqueue.cpp
+++ b/src/routing/prefillqueue.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/readqueue.h>
+#include <monsoongrade/routing/prefillqueue.h>
 
 namespace monsoongrade::routing {
 
@@ -13,13 +13,13 @@
 
 } // namespace
 
-void ReadQueue::add(const PlacementTicket &ticket, const PlacementQuery &query,
-                    std::int64_t tokensToRead, units::TimePoint now)
+void PrefillQueue::add(const PlacementTicket &ticket, const PlacementQuery &query,
+                       std::int64_t tokensToRead, units::TimePoint now)
 {
     remove(ticket);
     const bool isPartAwaited = byPart_.count(query.sharedPart) != 0;
     Entry entry;
-    entry.waiting = {ticket, query, now + query.targetIn, now + query.givenUpIn,
+    entry.waiting = {ticket, query, now + query.targetIn, now + query.expiresIn,
                      isPartAwaited ? query.ownTokens : tokensToRead};
     entry.place = {query.tier, false, entry.waiting.targetAt, ticket};
     order_.insert(entry.place);
@@ -29,13 +29,13 @@
     waiting_.emplace(ticket, std::move(entry));
 }
 
-std::int64_t &ReadQueue::tokensOf(const Entry &entry)
+std::int64_t &PrefillQueue::tokensOf(const Entry &entry)
 {
     TokensAhead &tokens = tokens_[entry.waiting.query.tier];
     return std::get<bool>(entry.place) ? tokens.late : tokens.onTime;
 }
 
-void ReadQueue::remove(const PlacementTicket &ticket)
+void PrefillQueue::remove(const PlacementTicket &ticket)
 {
     const auto found = waiting_.find(ticket);
     if (found == waiting_.end())
@@ -53,7 +53,7 @@
     waiting_.erase(found);
 }
 
-std::vector<PlacementTicket> ReadQueue::next(std::size_t most, units::TimePoint now)
+std::vector<PlacementTicket> PrefillQueue::next(std::size_t most, units::TimePoint now)
 {
     std::vector<PlacementTicket> tickets;
     auto each = order_.begin();
@@ -77,7 +77,7 @@
     return tickets;
 }
 
-std::vector<PlacementTicket> ReadQueue::takeGivenUp(std::size_t most, units::TimePoint now)
+std::vector<PlacementTicket> PrefillQueue::takeGivenUp(std::size_t most, units::TimePoint now)
 {
     std::vector<PlacementTicket> tickets;
     while (!byGivenUp_.empty() && tickets.size() < most
@@ -88,7 +88,7 @@
     return tickets;
 }
 
-TokensAhead ReadQueue::tokensAhead(units::Tier tier) const
+TokensAhead PrefillQueue::tokensAhead(units::Tier tier) const
 {
     TokensAhead ahead;
     for (const auto &[each, tokens] : tokens_) {
@@ -100,7 +100,7 @@
     return ahead;
 }
 
-std::vector<PlacementTicket> ReadQueue::withPart(const std::string &part) const
+std::vector<PlacementTicket> PrefillQueue::withPart(const std::string &part) const
 {
     std::vector<PlacementTicket> tickets;
     const auto [begin, end] = byPart_.equal_range(part);
@@ -109,7 +109,7 @@
     return tickets;
 }
 
-const ReadQueue::Waiting *ReadQueue::find(const PlacementTicket &ticket) const
+const PrefillQueue::Waiting *PrefillQueue::find(const PlacementTicket &ticket) const
 {
     const auto found = waiting_.find(ticket);
     return found == waiting_.end() ? nullptr : &found->second.waiting;
--- a/src/routing/readspeed.cpp
+++ b/src/routing/prefillrate.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/readspeed.h>
+#include <monsoongrade/routing/prefillrate.h>
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
 
 } // namespace
 
-void ReadSpeed::onRead(std::int64_t tokens, units::Duration took, units::TimePoint now)
+void PrefillRate::onRead(std::int64_t tokens, units::Duration took, units::TimePoint now)
 {
     if (tokens <= 0)
         return;
@@ -44,7 +44,7 @@
     fixedMs_ = std::max(0.0, (ms_ - tokens_ / tokensPerMs_) / weight_);
 }
 
-double ReadSpeed::fitted() const
+double PrefillRate::fitted() const
 {
     const double meanTokens = tokens_ / weight_;
     const double meanMs = ms_ / weight_;
@@ -56,29 +56,29 @@
     return variance / covariance;
 }
 
-double ReadSpeed::expectedMs(double tokens) const
+double PrefillRate::expectedMs(double tokens) const
 {
     return fixedMs_ + tokens / tokensPerMs_;
 }
 
-double ReadSpeed::tokensPerMs(units::TimePoint now) const
+double PrefillRate::tokensPerMs(units::TimePoint now) const
 {
     return now - lastAt_ >= MaxAge ? StartTokensPerMs : tokensPerMs_;
 }
 
-std::int64_t ReadSpeed::tokensIn(units::Duration time, units::TimePoint now) const
+std::int64_t PrefillRate::tokensIn(units::Duration time, units::TimePoint now) const
 {
     return std::int64_t(std::chrono::duration<double, std::milli>(time).count() * tokensPerMs(now));
 }
 
-const ReadSpeed &ReadSpeeds::of(const units::PoolName &pool) const
+const PrefillRate &PrefillRates::of(const units::PoolName &pool) const
 {
     const auto found = pools_.find(pool.value());
     return found == pools_.end() ? unknown_ : found->second;
 }
 
-void ReadSpeeds::onRead(const units::PoolName &pool, std::int64_t tokens, units::Duration took,
-                        units::TimePoint now)
+void PrefillRates::onRead(const units::PoolName &pool, std::int64_t tokens, units::Duration took,
+                          units::TimePoint now)
 {
     pools_[pool.value()].onRead(tokens, took, now);
 }
--- a/src/routing/prefixmemory.cpp
+++ b/src/routing/prefixcacheindex.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/prefixmemory.h>
+#include <monsoongrade/routing/prefixcacheindex.h>
 
 #include <algorithm>
 
@@ -13,20 +13,20 @@
 // of 20 parts every 0.2 s.
 constexpr auto TellAgainAfter = std::chrono::seconds(2);
 
-bool isOld(const PrefixMemory::Holder &holder, units::TimePoint now)
+bool isOld(const PrefixCacheIndex::Holder &holder, units::TimePoint now)
 {
     return now - holder.lastSent >= Remembered;
 }
 
-bool isSame(const PrefixMemory::Holder &holder, const DiscoveredEndpoint &endpoint)
+bool isSame(const PrefixCacheIndex::Holder &holder, const DiscoveredEndpoint &endpoint)
 {
     return holder.incarnation == endpoint.incarnation && holder.endpoint == endpoint.id;
 }
 
 } // namespace
 
-bool PrefixMemory::remember(const std::string &part, const DiscoveredEndpoint &endpoint,
-                            units::TimePoint now)
+bool PrefixCacheIndex::remember(const std::string &part, const DiscoveredEndpoint &endpoint,
+                                units::TimePoint now)
 {
     if (now >= nextCleaning_)
         forgetOld(now);
@@ -42,14 +42,15 @@
     return isToTell;
 }
 
-const std::vector<PrefixMemory::Holder> *PrefixMemory::holders(const std::string &part) const
+const std::vector<PrefixCacheIndex::Holder> *
+PrefixCacheIndex::holders(const std::string &part) const
 {
     const auto found = parts_.find(part);
     return found == parts_.end() ? nullptr : &found->second;
 }
 
-bool PrefixMemory::holds(const std::vector<Holder> *holders, const DiscoveredEndpoint &endpoint,
-                         units::TimePoint now)
+bool PrefixCacheIndex::holds(const std::vector<Holder> *holders, const DiscoveredEndpoint &endpoint,
+                             units::TimePoint now)
 {
     return holders != nullptr
         && std::any_of(holders->begin(), holders->end(), [&](const Holder &each) {
@@ -57,7 +58,7 @@
            });
 }
 
-void PrefixMemory::forgetOld(units::TimePoint now)
+void PrefixCacheIndex::forgetOld(units::TimePoint now)
 {
     nextCleaning_ = now + Remembered;
     for (auto part = parts_.begin(); part != parts_.end();) {
--- a/src/routing/limitboard.cpp
+++ b/src/routing/ratelimittable.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/limitboard.h>
+#include <monsoongrade/routing/ratelimittable.h>
 
 #include <algorithm>
 
@@ -16,8 +16,8 @@
 
 } // namespace
 
-bool LimitBoard::hear(const EndpointStart &endpoint, std::optional<RequestsPerSecond> limit,
-                      units::TimePoint at)
+bool RateLimitTable::update(const EndpointInstance &endpoint,
+                            std::optional<RequestsPerSecond> limit, units::TimePoint at)
 {
     const auto found = entries_.find(endpoint);
     if (found == entries_.end()) {
@@ -37,16 +37,16 @@
     return true;
 }
 
-std::size_t LimitBoard::limited() const
+std::size_t RateLimitTable::limited() const
 {
     return std::size_t(std::count_if(entries_.begin(), entries_.end(), [](const auto &entry) {
         return entry.second.limit.has_value();
     }));
 }
 
-std::vector<LimitNews> LimitBoard::takeNews(std::size_t maxItems, units::TimePoint now)
+std::vector<RateLimitUpdate> RateLimitTable::takeUpdates(std::size_t maxItems, units::TimePoint now)
 {
-    std::vector<LimitNews> news;
+    std::vector<RateLimitUpdate> news;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         Entry &known = entry->second;
         const units::Duration age = now - known.heardAt;
--- a/src/routing/placementdesk.cpp
+++ b/src/routing/requestplacer.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/placementdesk.h>
+#include <monsoongrade/routing/requestplacer.h>
 
 #include <monsoongrade/units/stablehash.h>
 
@@ -42,33 +42,34 @@
 
 std::uint64_t rankHash(const std::string &part, const EndpointStatus &endpoint)
 {
-    return units::spreadHash({part, endpoint.described.id.value()});
+    return units::spreadHash({part, endpoint.registration.id.value()});
 }
 
 double penalty(const EndpointStatus &endpoint, units::TimePoint now)
 {
-    return endpoint.health.slowness(now) * (1 + FailurePenalty * endpoint.health.failureShare(now));
+    return endpoint.health.slowness(now) * (1 + FailurePenalty * endpoint.health.failureRate(now));
 }
 
 } // namespace
 
 // A model pool's limit is used up by the one host that places for all.
-double PlacementDesk::shareFor(const PlacementQuery &query) const
+double RequestPlacer::shareFor(const PlacementQuery &query) const
 {
-    return query.runsModel && !query.isAlone ? 1 : ownShare_;
+    return query.runsModel && !query.isLocalFallback ? 1 : ownShare_;
 }
 
-bool PlacementDesk::isUsable(const EndpointStatus &endpoint, const PlacementQuery &query,
+bool RequestPlacer::isUsable(const EndpointStatus &endpoint, const PlacementQuery &query,
                              units::TimePoint now) const
 {
-    const bool wasTried = std::find(query.tried.begin(), query.tried.end(), endpoint.described.id)
+    const bool wasTried
+        = std::find(query.tried.begin(), query.tried.end(), endpoint.registration.id)
         != query.tried.end();
     return !wasTried && !endpoint.leaving && endpoint.health.accepts(now)
-        && endpoint.pace.allows(shareFor(query), now);
+        && endpoint.rateLimiter.allows(shareFor(query), now);
 }
 
-PlacementChoice PlacementDesk::place(const PlacementTicket &ticket, const PlacementQuery &query,
-                                     const std::vector<EndpointRoster::Status> &available,
+PlacementChoice RequestPlacer::place(const PlacementTicket &ticket, const PlacementQuery &query,
+                                     const std::vector<EndpointRegistry::Status> &available,
                                      units::TimePoint now)
 {
     forgetOld(now);
@@ -88,23 +89,23 @@
     return commit(ticket, query, std::move(choice), now);
 }
 
-PlacementChoice PlacementDesk::queueOrRefuse(const PlacementTicket &ticket,
+PlacementChoice RequestPlacer::queueOrRefuse(const PlacementTicket &ticket,
                                              const PlacementQuery &query, PlacementChoice choice,
                                              std::size_t endpoints, units::TimePoint now)
 {
     const WaitForecast forecast
-        = forecaster_.forecast(waiting_.tokensAhead(query.tier), query.targetIn, query.givenUpIn,
+        = forecaster_.forecast(waiting_.tokensAhead(query.tier), query.targetIn, query.expiresIn,
                                endpoints, readSpeeds_.of(query.pool).tokensPerMs(now));
     if (forecast.decision == WaitDecision::Wait) {
         waiting_.add(ticket, query, choice.tokensToRead, now);
         return choice;
     }
     choice = {};
-    choice.comeBackIn = forecast.comeBackIn;
+    choice.retryDelay = forecast.retryDelay;
     return choice;
 }
 
-PlacementChoice PlacementDesk::commit(const PlacementTicket &ticket, const PlacementQuery &query,
+PlacementChoice RequestPlacer::commit(const PlacementTicket &ticket, const PlacementQuery &query,
                                       PlacementChoice choice, units::TimePoint now)
 {
     choice.isWaiting = false;
@@ -112,15 +113,15 @@
     if (choice.endpoint == nullptr)
         return choice;
     const EndpointStatus &endpoint = *choice.endpoint;
-    choice.endpoint->pace.onPlaced(shareFor(query), now);
+    choice.endpoint->rateLimiter.onPlaced(shareFor(query), now);
     Placed &placed = placed_[ticket];
     placed = {choice.endpoint, choice.tokensToRead, now, query.needsShortPauses};
     placed.isOnlyRead = query.runsModel && loads_.of(endpoint).tokensToRead == 0;
     loads_.add(endpoint, choice.tokensToRead);
     if (query.needsShortPauses)
-        reserve_.opened(endpoint.described.pool);
+        reserve_.opened(endpoint.registration.pool);
     if (query.runsModel && !query.sharedPart.empty()) {
-        const DiscoveredEndpoint &described = endpoint.described;
+        const DiscoveredEndpoint &described = endpoint.registration;
         if (memory_.remember(query.sharedPart, described, now))
             newParts_.push_back({query.sharedPart, described.id, described.incarnation});
     }
@@ -128,16 +129,16 @@
 }
 
 std::vector<std::pair<PlacementTicket, PlacementChoice>>
-PlacementDesk::placeWaiting(const EndpointRoster &roster, units::TimePoint now)
+RequestPlacer::placeWaiting(const EndpointRegistry &registry, units::TimePoint now)
 {
     std::vector<std::pair<PlacementTicket, PlacementChoice>> placed;
     std::int64_t drained = 0;
     const auto tryPlace = [&](const PlacementTicket &ticket) {
-        const ReadQueue::Waiting *waiting = waiting_.find(ticket);
+        const PrefillQueue::Waiting *waiting = waiting_.find(ticket);
         if (waiting == nullptr)
             return false;
         const PlacementQuery query = waiting->query;
-        PlacementChoice choice = chooseForModel(query, roster.available(query.pool), now);
+        PlacementChoice choice = chooseForModel(query, registry.available(query.pool), now);
         if (choice.isWaiting)
             return false;
         drained += choice.tokensToRead;
@@ -146,10 +147,10 @@
     };
     for (const PlacementTicket &ticket : waiting_.takeGivenUp(MaxTriedAtOnce, now)) {
         placed.emplace_back(ticket, PlacementChoice{});
-        placed.back().second.comeBackIn = units::Duration::zero();
+        placed.back().second.retryDelay = units::Duration::zero();
     }
     for (const PlacementTicket &ticket : waiting_.next(MaxTriedAtOnce, now)) {
-        const ReadQueue::Waiting *waiting = waiting_.find(ticket);
+        const PrefillQueue::Waiting *waiting = waiting_.find(ticket);
         const std::string part = waiting == nullptr ? std::string() : waiting->query.sharedPart;
         if (!tryPlace(ticket))
             continue;
@@ -164,15 +165,15 @@
     return placed;
 }
 
-bool PlacementDesk::hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxToRead) const
+bool RequestPlacer::hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxToRead) const
 {
     return loads_.of(endpoint).tokensToRead < maxToRead;
 }
 
 // Endpoints by the reserve; if it leaves none, all that can be used.
-PlacementDesk::Candidates
-PlacementDesk::candidatesFor(const PlacementQuery &query,
-                             const std::vector<EndpointRoster::Status> &available,
+RequestPlacer::Candidates
+RequestPlacer::candidatesFor(const PlacementQuery &query,
+                             const std::vector<EndpointRegistry::Status> &available,
                              units::TimePoint now)
 {
     const ShortPauseReserve::Endpoints &reserved
@@ -181,7 +182,7 @@
     const std::int64_t maxToRead = readSpeeds_.of(query.pool).tokensIn(MaxReadsInReserve, now);
     Candidates usable;
     Candidates byReserve;
-    for (const EndpointRoster::Status &endpoint : available) {
+    for (const EndpointRegistry::Status &endpoint : available) {
         if (!isUsable(*endpoint, query, now))
             continue;
         usable.push_back(&endpoint);
@@ -193,27 +194,28 @@
     return byReserve.empty() ? usable : byReserve;
 }
 
-PlacementChoice PlacementDesk::chooseForModel(const PlacementQuery &query,
-                                              const std::vector<EndpointRoster::Status> &available,
-                                              units::TimePoint now)
+PlacementChoice
+RequestPlacer::chooseForModel(const PlacementQuery &query,
+                              const std::vector<EndpointRegistry::Status> &available,
+                              units::TimePoint now)
 {
     const Candidates candidates = candidatesFor(query, available, now);
     PlacementChoice choice;
     double best = std::numeric_limits<double>::infinity();
     const std::int64_t shared = query.promptTokens - query.ownTokens;
-    const ReadSpeed &speed = readSpeeds_.of(query.pool);
+    const PrefillRate &speed = readSpeeds_.of(query.pool);
     const std::int64_t longRead = speed.tokensIn(LongRead, now);
     const std::int64_t maxBefore = speed.tokensIn(MaxReadsBefore, now);
     const EndpointStatus *first = firstByHash(query, candidates);
-    const std::vector<PrefixMemory::Holder> *holders = memory_.holders(query.sharedPart);
+    const std::vector<PrefixCacheIndex::Holder> *holders = memory_.holders(query.sharedPart);
     const bool isKnownSomewhere
         = std::any_of(candidates.begin(), candidates.end(), [&](const auto *endpoint) {
-              return PrefixMemory::holds(holders, (*endpoint)->described, now);
+              return PrefixCacheIndex::holds(holders, (*endpoint)->registration, now);
           });
-    for (const EndpointRoster::Status *candidate : candidates) {
-        const EndpointRoster::Status &endpoint = *candidate;
+    for (const EndpointRegistry::Status *candidate : candidates) {
+        const EndpointRegistry::Status &endpoint = *candidate;
         const std::int64_t again
-            = PrefixMemory::holds(holders, endpoint->described, now) ? 0 : shared;
+            = PrefixCacheIndex::holds(holders, endpoint->registration, now) ? 0 : shared;
         const std::int64_t toRead = query.ownTokens + again;
         const EndpointLoad load = loads_.of(*endpoint);
         // What a choice other than that of all hosts may cost later: a host that decides alone, or
@@ -234,12 +236,12 @@
     return choice;
 }
 
-const EndpointStatus *PlacementDesk::firstByHash(const PlacementQuery &query,
+const EndpointStatus *RequestPlacer::firstByHash(const PlacementQuery &query,
                                                  const Candidates &candidates)
 {
     const EndpointStatus *first = nullptr;
     std::uint64_t firstHash = 0;
-    for (const EndpointRoster::Status *endpoint : candidates) {
+    for (const EndpointRegistry::Status *endpoint : candidates) {
         const std::uint64_t hash = rankHash(query.sharedPart, **endpoint);
         if (first == nullptr || hash > firstHash) {
             first = endpoint->get();
@@ -249,17 +251,18 @@
     return first;
 }
 
-PlacementChoice PlacementDesk::chooseForPlain(const PlacementQuery &query,
-                                              const std::vector<EndpointRoster::Status> &available,
-                                              units::TimePoint now) const
+PlacementChoice
+RequestPlacer::chooseForPlain(const PlacementQuery &query,
+                              const std::vector<EndpointRegistry::Status> &available,
+                              units::TimePoint now) const
 {
     PlacementChoice choice;
     double best = std::numeric_limits<double>::infinity();
-    for (const EndpointRoster::Status &endpoint : available) {
+    for (const EndpointRegistry::Status &endpoint : available) {
         const EndpointLoad load = loads_.of(*endpoint);
-        if (!isUsable(*endpoint, query, now) || load.openRequests >= endpoint->described.slots)
+        if (!isUsable(*endpoint, query, now) || load.openRequests >= endpoint->registration.slots)
             continue;
-        const bool isNear = endpoint->described.failureDomain == query.askersDomain;
+        const bool isNear = endpoint->registration.failureDomain == query.requesterDomain;
         const double cost = (1 + load.openRequests) * penalty(*endpoint, now) + (isNear ? 0 : 0.5);
         if (cost < best) {
             best = cost;
@@ -269,7 +272,8 @@
     return choice;
 }
 
-void PlacementDesk::hear(const PlacementTicket &ticket, PlacementNews news, units::TimePoint now)
+void RequestPlacer::onEvent(const PlacementTicket &ticket, PlacementEvent news,
+                            units::TimePoint now)
 {
     waiting_.remove(ticket);
     const auto found = placed_.find(ticket);
@@ -277,31 +281,31 @@
         return;
     Placed &placed = found->second;
     switch (news) {
-    case PlacementNews::FirstEvent:
+    case PlacementEvent::FirstEvent:
         noteFirstEvent(placed, now);
         return;
-    case PlacementNews::EndpointSilent:
+    case PlacementEvent::EndpointSilent:
         noteSilence(placed, now);
         return;
-    case PlacementNews::Completed:
+    case PlacementEvent::Completed:
         loads_.addResult(*placed.endpoint, now);
         break;
-    case PlacementNews::EndpointFailed:
+    case PlacementEvent::EndpointFailed:
         placed.endpoint->health.onFailure(now);
         break;
-    case PlacementNews::Withdrawn:
+    case PlacementEvent::Withdrawn:
         break;
     }
     end(placed);
     placed_.erase(found);
 }
 
-void PlacementDesk::noteFirstEvent(Placed &placed, units::TimePoint now)
+void RequestPlacer::noteFirstEvent(Placed &placed, units::TimePoint now)
 {
     const EndpointStatus &endpoint = *placed.endpoint;
     loads_.addResult(endpoint, now);
     if (placed.isOnlyRead && endpoint.health.slowness(now) < MaxSlownessToLearnFrom)
-        readSpeeds_.onRead(endpoint.described.pool, placed.tokensToRead, now - placed.at, now);
+        readSpeeds_.onRead(endpoint.registration.pool, placed.tokensToRead, now - placed.at, now);
     placed.isOnlyRead = false;
     loads_.removeTokens(endpoint, placed.tokensToRead);
     placed.tokensToRead = 0;
@@ -310,21 +314,21 @@
     placed.isStreaming = true;
 }
 
-void PlacementDesk::noteSilence(const Placed &placed, units::TimePoint now)
+void RequestPlacer::noteSilence(const Placed &placed, units::TimePoint now)
 {
     if (loads_.of(*placed.endpoint).lastResultAt < placed.at)
         placed.endpoint->health.onSilence(now);
 }
 
-bool PlacementDesk::hasEndpoint(const PlacementQuery &query,
-                                const std::vector<EndpointRoster::Status> &available,
+bool RequestPlacer::hasEndpoint(const PlacementQuery &query,
+                                const std::vector<EndpointRegistry::Status> &available,
                                 units::TimePoint now) const
 {
     return std::any_of(available.begin(), available.end(),
                        [&](const auto &endpoint) { return isUsable(*endpoint, query, now); });
 }
 
-std::optional<PlacementChoice> PlacementDesk::choiceOf(const PlacementTicket &ticket) const
+std::optional<PlacementChoice> RequestPlacer::choiceOf(const PlacementTicket &ticket) const
 {
     const auto found = placed_.find(ticket);
     if (found == placed_.end())
@@ -332,7 +336,7 @@
     return PlacementChoice{found->second.endpoint, found->second.tokensToRead};
 }
 
-void PlacementDesk::learn(const CachedPart &part, units::TimePoint now)
+void RequestPlacer::addCachedPart(const CachedPart &part, units::TimePoint now)
 {
     DiscoveredEndpoint endpoint;
     endpoint.id = part.endpoint;
@@ -340,24 +344,24 @@
     memory_.remember(part.part, endpoint, now);
 }
 
-int PlacementDesk::openRequests(const EndpointStatus &endpoint) const
+int RequestPlacer::openRequests(const EndpointStatus &endpoint) const
 {
     return loads_.of(endpoint).openRequests;
 }
 
-std::int64_t PlacementDesk::tokensToRead(const EndpointStatus &endpoint) const
+std::int64_t RequestPlacer::tokensToRead(const EndpointStatus &endpoint) const
 {
     return loads_.of(endpoint).tokensToRead;
 }
 
-void PlacementDesk::end(const Placed &placed)
+void RequestPlacer::end(const Placed &placed)
 {
     if (placed.needsShortPauses)
-        reserve_.ended(placed.endpoint->described.pool);
+        reserve_.ended(placed.endpoint->registration.pool);
     loads_.end(*placed.endpoint, placed.tokensToRead, placed.isStreaming);
 }
 
-void PlacementDesk::forgetOld(units::TimePoint now)
+void RequestPlacer::forgetOld(units::TimePoint now)
 {
     if (now < nextCleaning_)
         return;
--- a/src/routing/retryallowance.cpp
+++ b/src/routing/retryallowance.cpp
@@ -17,7 +17,7 @@
     requests_.push_back(now);
 }
 
-bool RetryAllowance::trySpend(const RetryBound &bound, int hosts, units::TimePoint now)
+bool RetryAllowance::trySpend(const RetryLimit &bound, int hosts, units::TimePoint now)
 {
     if (!hasLeft(bound, hosts, now))
         return false;
@@ -25,7 +25,7 @@
     return true;
 }
 
-bool RetryAllowance::hasLeft(const RetryBound &bound, int hosts, units::TimePoint now)
+bool RetryAllowance::hasLeft(const RetryLimit &bound, int hosts, units::TimePoint now)
 {
     forgetOld(bound, now);
     const double allowed
@@ -33,7 +33,7 @@
     return double(repeats_.size()) + 1 <= allowed * UsedShareOfBound;
 }
 
-void RetryAllowance::forgetOld(const RetryBound &bound, units::TimePoint now)
+void RetryAllowance::forgetOld(const RetryLimit &bound, units::TimePoint now)
 {
     while (!requests_.empty() && now - requests_.front() >= bound.window)
         requests_.pop_front();
--- a/src/routing/shortpausereserve.cpp
+++ b/src/routing/shortpausereserve.cpp
@@ -27,7 +27,7 @@
 
 std::uint64_t hashOf(const EndpointStatus &endpoint)
 {
-    return units::spreadHash({endpoint.described.id.value()});
+    return units::spreadHash({endpoint.registration.id.value()});
 }
 
 } // namespace
@@ -51,11 +51,11 @@
 
 const ShortPauseReserve::Endpoints &
 ShortPauseReserve::endpoints(const units::PoolName &pool,
-                             const std::vector<EndpointRoster::Status> &available,
+                             const std::vector<EndpointRegistry::Status> &available,
                              units::TimePoint now, std::size_t minSize, int arriving)
 {
     Pool &state = pools_[pool.value()];
-    const int slots = available.empty() ? 1 : std::max(available.front()->described.slots, 1);
+    const int slots = available.empty() ? 1 : std::max(available.front()->registration.slots, 1);
     const auto wanted = std::max(
         minSize, std::size_t(std::ceil((state.open + arriving) / (slots * WantedShareOfSlots))));
     const bool isDue = now >= state.chosenAt + ChooseInterval;
@@ -70,13 +70,13 @@
     return state.endpoints;
 }
 
-void ShortPauseReserve::choose(Pool &pool, const std::vector<EndpointRoster::Status> &available,
+void ShortPauseReserve::choose(Pool &pool, const std::vector<EndpointRegistry::Status> &available,
                                units::TimePoint now)
 {
     pool.chosenAt = now;
     pool.endpoints.clear();
     std::vector<std::pair<std::uint64_t, const EndpointStatus *>> usable;
-    for (const EndpointRoster::Status &endpoint : available) {
+    for (const EndpointRegistry::Status &endpoint : available) {
         if (!endpoint->leaving && endpoint->health.accepts(now)
             && endpoint->health.slowness(now) < MaxSlowness)
             usable.emplace_back(hashOf(*endpoint), endpoint.get());
--- a/src/routing/storeoutage.cpp
+++ b/src/routing/storeoutage.cpp
@@ -4,12 +4,12 @@
 
 namespace monsoongrade::routing {
 
-bool wasAwayForAll(units::Duration away, const std::string &ownIp,
-                   const std::vector<PeerNews> &hosts)
+bool wasFleetWideOutage(units::Duration away, const std::string &ownIp,
+                        const std::vector<PeerUpdate> &hosts)
 {
-    return std::none_of(hosts.begin(), hosts.end(), [&](const PeerNews &host) {
+    return std::none_of(hosts.begin(), hosts.end(), [&](const PeerUpdate &host) {
         // What the host said some time ago may have ended since, which its age leaves out.
-        return host.ip != ownIp && host.storeFor > away + host.age;
+        return host.ip != ownIp && host.storeReachableFor > away + host.age;
     });
 }
 
--- a/src/routing/storereaders.cpp
+++ b/src/routing/storereaders.cpp
@@ -22,30 +22,31 @@
 // The least goes first: refused, just started, processor, hash; the IP last.
 using Candidate = std::tuple<bool, bool, int, std::uint64_t, std::string_view>;
 
-Candidate candidate(const PeerNews &host)
+Candidate candidate(const PeerUpdate &host)
 {
-    return {host.isStoreRefused, !isSettled(host), -host.millicores, hashOf(host.ip), host.ip};
+    return {host.isStoreRefused, !isKnownFleetWide(host), -host.millicores, hashOf(host.ip),
+            host.ip};
 }
 
-units::FailureDomain domainOf(const std::string &ip, const std::vector<PeerNews> &hosts)
+units::FailureDomain domainOf(const std::string &ip, const std::vector<PeerUpdate> &hosts)
 {
     const auto host = std::find_if(hosts.begin(), hosts.end(),
-                                   [&](const PeerNews &each) { return each.ip == ip; });
+                                   [&](const PeerUpdate &each) { return each.ip == ip; });
     return host == hosts.end() ? units::FailureDomain() : host->failureDomain;
 }
 
 } // namespace
 
-bool isSettled(const PeerNews &host)
+bool isKnownFleetWide(const PeerUpdate &host)
 {
     return host.uptime + host.age >= SettledAfter;
 }
 
-std::vector<std::string> storeReaders(const std::vector<PeerNews> &hosts, std::size_t count,
+std::vector<std::string> storeReaders(const std::vector<PeerUpdate> &hosts, std::size_t count,
                                       const std::set<std::string> &without)
 {
     std::map<units::FailureDomain, std::vector<Candidate>> domains;
-    for (const PeerNews &host : hosts) {
+    for (const PeerUpdate &host : hosts) {
         if (host.state != PeerState::Leaving && without.count(host.ip) == 0)
             domains[host.failureDomain].push_back(candidate(host));
     }
@@ -69,8 +70,8 @@
     return readers;
 }
 
-std::vector<std::string> askingOrder(const std::string &ownIp, std::vector<std::string> readers,
-                                     const std::vector<PeerNews> &hosts)
+std::vector<std::string> readerOrder(const std::string &ownIp, std::vector<std::string> readers,
+                                     const std::vector<PeerUpdate> &hosts)
 {
     const units::FailureDomain ownDomain = domainOf(ownIp, hosts);
     const auto far
--- a/src/routing/storeaccess.cpp
+++ b/src/routing/storesourceselector.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/storeaccess.h>
+#include <monsoongrade/routing/storesourceselector.h>
 
 #include <algorithm>
 
@@ -62,7 +62,7 @@
     StoreSource source;
     source.kind = StoreSource::Kind::Host;
     source.host = host;
-    source.isPatient = isPatient;
+    source.waitsForStore = isPatient;
     return source;
 }
 
@@ -87,38 +87,40 @@
 
 } // namespace
 
-StoreAccess::StoreAccess(std::string ownIp, const std::vector<std::string> &seedIps,
-                         units::TimePoint startedAt)
+StoreSourceSelector::StoreSourceSelector(std::string ownIp, const std::vector<std::string> &seedIps,
+                                         units::TimePoint startedAt)
     : ownIp_(std::move(ownIp))
     , seeds_(seedIps.begin(), seedIps.end())
     , startedAt_(startedAt)
 {
 }
 
-StoreSource StoreAccess::next(const std::vector<PeerNews> &hosts, bool hasContent,
-                              units::TimePoint now)
+StoreSource StoreSourceSelector::next(const std::vector<PeerUpdate> &hosts, bool hasContent,
+                                      units::TimePoint now)
 {
     forgetOld(now);
-    if (std::none_of(hosts.begin(), hosts.end(), isSettled) && now < startedAt_ + StartingTogether)
+    if (std::none_of(hosts.begin(), hosts.end(), isKnownFleetWide)
+        && now < startedAt_ + StartingTogether)
         return whileStarting(hosts, hasContent, now);
     const std::vector<std::string> readers
         = storeReaders(hosts, readersNow(now), keysOf(silentUntil_));
-    isReader_ = hosts.size() <= MaxHostsThatAllRead || shouldRead(readers, now);
+    isReader_ = hosts.size() <= MaxHostsReadingDirectly || shouldRead(readers, now);
     if (isReader_)
         return fromStore(hosts, now);
     StoreSource source = fromHosts(readers, hosts);
-    source.wantsAll = isFleetLarge_ && standsBy(hosts);
+    source.wantsAllObjects = isFleetLarge_ && standsBy(hosts);
     return source;
 }
 
 // Stays so: a host that left and came back would list all objects each time.
-bool StoreAccess::standsBy(const std::vector<PeerNews> &hosts)
+bool StoreSourceSelector::standsBy(const std::vector<PeerUpdate> &hosts)
 {
     standsBy_ = standsBy_ || contains(storeReaders(hosts, HostsStandingBy), ownIp_);
     return standsBy_;
 }
 
-bool StoreAccess::shouldRead(const std::vector<std::string> &readers, units::TimePoint now) const
+bool StoreSourceSelector::shouldRead(const std::vector<std::string> &readers,
+                                     units::TimePoint now) const
 {
     if (now < aloneUntil_)
         return true;
@@ -129,14 +131,15 @@
 
 // The fleet starts as a whole, or this host is the first to start: nobody can say who reads, but
 // the settings name the same few hosts to all.
-StoreSource StoreAccess::whileStarting(const std::vector<PeerNews> &hosts, bool hasContent,
-                                       units::TimePoint now)
+StoreSource StoreSourceSelector::whileStarting(const std::vector<PeerUpdate> &hosts,
+                                               bool hasContent, units::TimePoint now)
 {
     if (isFleetLarge_)
         return whileLargeFleetStarts(hosts, hasContent, now);
     const bool isAlone = hosts.size() <= 1;
     const bool isWaitOver = now >= startedAt_ + WaitForFirstNews;
-    const bool isSmall = hosts.size() <= MaxHostsThatAllRead && now >= startedAt_ + SmallFleetShows;
+    const bool isSmall
+        = hosts.size() <= MaxHostsReadingDirectly && now >= startedAt_ + SmallFleetShows;
     isReader_ = seeds_.empty() || seeds_.count(ownIp_) != 0 || now < aloneUntil_
         || now < askedUntil_ || (isAlone && isWaitOver) || isSmall;
     if (isReader_)
@@ -147,7 +150,7 @@
         return source;
     }
     std::vector<std::string> readers;
-    for (const PeerNews &host : hosts) {
+    for (const PeerUpdate &host : hosts) {
         if (seeds_.count(host.ip) != 0 && silentUntil_.count(host.ip) == 0)
             readers.push_back(host.ip);
     }
@@ -159,8 +162,8 @@
     return fromStore(hosts, now);
 }
 
-StoreSource StoreAccess::whileLargeFleetStarts(const std::vector<PeerNews> &hosts, bool hasContent,
-                                               units::TimePoint now)
+StoreSource StoreSourceSelector::whileLargeFleetStarts(const std::vector<PeerUpdate> &hosts,
+                                                       bool hasContent, units::TimePoint now)
 {
     if (now < startedAt_ + LargeHostsShow)
         return waitFor(LargeStartPoll);
@@ -175,10 +178,11 @@
     return store;
 }
 
-StoreSource StoreAccess::fromStore(const std::vector<PeerNews> &hosts, units::TimePoint now)
+StoreSource StoreSourceSelector::fromStore(const std::vector<PeerUpdate> &hosts,
+                                           units::TimePoint now)
 {
     StoreSource store;
-    store.isForOthers = hosts.size() > MaxHostsThatAllRead;
+    store.servesOtherHosts = hosts.size() > MaxHostsReadingDirectly;
     if (storeFailures_ == 0)
         return store;
     const bool mayCall = now >= nextProbeAt_ && (!isProbing_ || now >= probeEndsBy_);
@@ -188,15 +192,15 @@
         return store;
     }
     // Another reader may have the store, which shows that it turns this host away.
-    if (store.isForOthers && now >= storeFailingSince_ + SoonBack && now >= aloneUntil_)
+    if (store.servesOtherHosts && now >= storeFailingSince_ + SoonBack && now >= aloneUntil_)
         return fromHosts(storeReaders(hosts, readersNow(now), keysOf(silentUntil_)), hosts);
     return waitFor(isProbing_ ? units::Duration(ProbePoll) : nextProbeAt_ - now);
 }
 
-StoreSource StoreAccess::fromHosts(std::vector<std::string> readers,
-                                   const std::vector<PeerNews> &hosts)
+StoreSource StoreSourceSelector::fromHosts(std::vector<std::string> readers,
+                                           const std::vector<PeerUpdate> &hosts)
 {
-    readers = askingOrder(ownIp_, std::move(readers), hosts);
+    readers = readerOrder(ownIp_, std::move(readers), hosts);
     readers.erase(std::remove(readers.begin(), readers.end(), ownIp_), readers.end());
     if (readers.empty())
         return waitFor(StartPoll);
@@ -208,16 +212,16 @@
     return askHost(readers.front(), true);
 }
 
-std::size_t StoreAccess::readersNow(units::TimePoint now) const
+std::size_t StoreSourceSelector::readersNow(units::TimePoint now) const
 {
     if (!nothingSince_)
-        return ReadersOfFleet;
+        return StoreReaderCount;
     const auto steps = std::size_t((now - *nothingSince_) / units::Duration(WidenAfter));
-    return ReadersOfFleet * std::min(1 + steps, MaxWidening);
+    return StoreReaderCount * std::min(1 + steps, MaxWidening);
 }
 
-void StoreAccess::onHostAnswered(const std::string &host, units::TimePoint provenAt,
-                                 units::TimePoint now)
+void StoreSourceSelector::onHostAnswered(const std::string &host, units::TimePoint provenAt,
+                                         units::TimePoint now)
 {
     if (storeFailures_ > 0 && provenAt > storeFailingSince_) {
         refusedUntil_ = now + RefusedFor;
@@ -230,7 +234,7 @@
     withoutStoreUntil_.erase(host);
 }
 
-void StoreAccess::onHostWithoutStore(const std::string &host, units::TimePoint now)
+void StoreSourceSelector::onHostWithoutStore(const std::string &host, units::TimePoint now)
 {
     silentInRow_ = 0;
     withoutStoreUntil_[host] = now + AvoidWithoutStoreFor;
@@ -238,8 +242,8 @@
         nothingSince_ = now;
 }
 
-void StoreAccess::onHostSilent(const std::string &host, units::TimePoint calledAt,
-                               units::TimePoint now)
+void StoreSourceSelector::onHostTimeout(const std::string &host, units::TimePoint calledAt,
+                                        units::TimePoint now)
 {
     silentUntil_[host] = now + AvoidSilentFor;
     const int maxSilent = isFleetLarge_ ? MaxSilentInRowOfLargeFleet : MaxSilentInRow;
@@ -249,14 +253,14 @@
     aloneUntil_ = now + AloneFor;
 }
 
-void StoreAccess::onStoreAnswered()
+void StoreSourceSelector::onStoreAnswered()
 {
     storeFailures_ = 0;
     isProbing_ = false;
     nothingSince_.reset();
 }
 
-void StoreAccess::onStoreFailed(units::TimePoint now)
+void StoreSourceSelector::onStoreFailed(units::TimePoint now)
 {
     isProbing_ = false;
     if (storeFailures_ == 0)
@@ -269,7 +273,7 @@
     nextProbeAt_ = now + pause;
 }
 
-bool StoreAccess::onAsked(units::TimePoint now)
+bool StoreSourceSelector::onReadRequested(units::TimePoint now)
 {
     if (isRefused(now))
         return false;
@@ -277,7 +281,7 @@
     return storeFailures_ == 0 || now < storeFailingSince_ + SoonBack;
 }
 
-void StoreAccess::forgetOld(units::TimePoint now)
+void StoreSourceSelector::forgetOld(units::TimePoint now)
 {
     eraseOld(silentUntil_, now);
     eraseOld(withoutStoreUntil_, now);
--- a/src/routing/waitforecast.cpp
+++ b/src/routing/waitforecast.cpp
@@ -58,7 +58,7 @@
 }
 
 WaitForecast WaitForecaster::forecast(const TokensAhead &ahead, units::Duration targetIn,
-                                      units::Duration givenUpIn, std::size_t endpoints,
+                                      units::Duration expiresIn, std::size_t endpoints,
                                       double tokensPerMs) const
 {
     const double rate = drainRate(endpoints, tokensPerMs);
@@ -68,7 +68,7 @@
     const units::Duration backlog = milliseconds(double(ahead.onTime + ahead.late) / rate);
     const units::Duration lateWait
         = milliseconds(LateFactor * double(ahead.onTime + ahead.late) / rate);
-    if (lateWait <= MaxLateWait && lateWait + AtEndpoint + StreamTime <= givenUpIn)
+    if (lateWait <= MaxLateWait && lateWait + AtEndpoint + StreamTime <= expiresIn)
         return {};
     return {WaitDecision::Refuse, backlog};
 }
--- a/src/scaling/workerordering.cpp
+++ b/src/scaling/poolautoscaler.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/scaling/workerordering.h>
+#include <monsoongrade/scaling/poolautoscaler.h>
 
 #include <monsoongrade/observability/log.h>
 
@@ -29,7 +29,7 @@
 
 } // namespace
 
-WorkerOrdering::WorkerOrdering(const ScaledPools &pools, const SizingPolicy &policy,
+PoolAutoscaler::PoolAutoscaler(const ScaledPools &pools, const SizingPolicy &policy,
                                BaselineStore &baselines, duties::DutyPlatform &platform,
                                observability::Metrics &metrics, const units::Clock &clock)
     : pools_(pools)
@@ -41,7 +41,7 @@
 {
 }
 
-void WorkerOrdering::act(duties::FencingToken token)
+void PoolAutoscaler::act(duties::FencingToken token)
 {
     const units::TimePoint now = clock_.now();
     if (heldToken_ != token) {
@@ -68,12 +68,12 @@
 }
 
 // Until the size that the operator gave the pool is known, all that were seen.
-int WorkerOrdering::neededOf(const Pool &pool)
+int PoolAutoscaler::neededOf(const Pool &pool)
 {
     return std::max(pool.baseline.value_or(0), pool.mostSeen);
 }
 
-void WorkerOrdering::askBaseline(const ScaledPool &scaled, Pool &pool)
+void PoolAutoscaler::askBaseline(const ScaledPool &scaled, Pool &pool)
 {
     const units::TimePoint now = clock_.now();
     if (isAskingBaseline_ || now < askBaselineAgainAt_)
@@ -84,15 +84,15 @@
         return;
     }
     countSeen(scaled, pool, now);
-    const bool isSettled = pool.mostSeen > 0 && now >= pool.mostSeenAt + ListSettleTime
+    const bool isKnownFleetWide = pool.mostSeen > 0 && now >= pool.mostSeenAt + ListSettleTime
         && now >= pool.firstSeenAt + scaled.scaling.bootTime + units::Duration(BootSlack);
-    if (isSettled) {
+    if (isKnownFleetWide) {
         isAskingBaseline_ = true;
         baselines_.createOrRead(scaled.name, pool.mostSeen, baselineDone(scaled.name));
     }
 }
 
-BaselineStore::Done WorkerOrdering::baselineDone(const units::PoolName &name)
+BaselineStore::Done PoolAutoscaler::baselineDone(const units::PoolName &name)
 {
     return [this, name, alive = std::weak_ptr<bool>(alive_)](BaselineStore::Outcome outcome,
                                                              int endpoints) {
@@ -105,11 +105,11 @@
 
 // No more ordinary endpoints than the baseline are ever ordered, so those beyond it are the
 // operator's. Counts at once: a pool must not shrink to a size that was read too early.
-void WorkerOrdering::raiseBaseline(const ScaledPool &scaled, Pool &pool)
+void PoolAutoscaler::raiseBaseline(const ScaledPool &scaled, Pool &pool)
 {
     int ordinary = 0;
-    for (const auto &[domain, census] : scaled.census.domains)
-        ordinary += census.ordinary.ready;
+    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains)
+        ordinary += endpointCounts.ordinary.ready;
     pool.mostSeen = std::max(pool.mostSeen, ordinary);
     if (pool.mostSeen <= *pool.baseline || isAskingBaseline_ || clock_.now() < askBaselineAgainAt_)
         return;
@@ -117,13 +117,13 @@
     baselines_.replace(scaled.name, pool.mostSeen, baselineDone(scaled.name));
 }
 
-void WorkerOrdering::countSeen(const ScaledPool &scaled, Pool &pool, units::TimePoint now)
+void PoolAutoscaler::countSeen(const ScaledPool &scaled, Pool &pool, units::TimePoint now)
 {
     int ordinary = 0;
     int preemptible = 0;
-    for (const auto &[domain, census] : scaled.census.domains) {
-        ordinary += census.ordinary.ready;
-        preemptible += census.preemptible.ready;
+    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains) {
+        ordinary += endpointCounts.ordinary.ready;
+        preemptible += endpointCounts.preemptible.ready;
     }
     if (!pool.preemptibleAtFirst)
         pool.preemptibleAtFirst = preemptible;
@@ -136,7 +136,7 @@
     }
 }
 
-void WorkerOrdering::onBaseline(const units::PoolName &name, BaselineStore::Outcome outcome,
+void PoolAutoscaler::onBaseline(const units::PoolName &name, BaselineStore::Outcome outcome,
                                 int endpoints)
 {
     Pool &pool = known_[name];
@@ -156,47 +156,49 @@
 }
 
 // A domain whose preemptible endpoints are all leaving was preempted as a whole.
-void WorkerOrdering::notePreemption(const ScaledPool &scaled, Pool &pool)
+void PoolAutoscaler::notePreemption(const ScaledPool &scaled, Pool &pool)
 {
-    for (const auto &[domain, census] : scaled.census.domains) {
-        if (census.preemptible.ready > 0)
+    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains) {
+        if (endpointCounts.preemptible.ready > 0)
             pool.withoutPreemptibleUntil.erase(domain);
-        else if (census.preemptible.draining > 0)
+        else if (endpointCounts.preemptible.draining > 0)
             pool.withoutPreemptibleUntil[domain] = clock_.now() + UnavailablePause;
     }
 }
 
-bool WorkerOrdering::orderOne(const ScaledPool &scaled, Pool &pool, duties::FencingToken token)
+bool PoolAutoscaler::orderOne(const ScaledPool &scaled, Pool &pool, duties::FencingToken token)
 {
     const units::TimePoint now = clock_.now();
     notePreemption(scaled, pool);
-    SizingInput input{scaled.scaling, scaled.census, neededOf(pool), {}};
+    SizingInput input{scaled.scaling, scaled.endpointCounts, neededOf(pool), {}};
     for (const auto &[domain, until] : pool.withoutPreemptibleUntil) {
         if (now < until)
-            input.withoutPreemptible.insert(domain);
+            input.preemptibleUnavailable.insert(domain);
     }
     const PoolSize size = policy_.decide(input);
     noteGauges(scaled, size);
     for (const auto &[domain, wanted] : size) {
-        const auto found = scaled.census.domains.find(domain);
-        const DomainCensus census
-            = found == scaled.census.domains.end() ? DomainCensus() : found->second;
+        const auto found = scaled.endpointCounts.domains.find(domain);
+        const DomainEndpointCounts endpointCounts
+            = found == scaled.endpointCounts.domains.end() ? DomainEndpointCounts() : found->second;
         // Where none are to be had there is nothing to cancel either.
-        if (input.withoutPreemptible.count(domain) == 0
+        if (input.preemptibleUnavailable.count(domain) == 0
             && isDue(scaled, pool.subjects[{domain, true}], wanted.preemptible,
-                     census.preemptible.ready)) {
-            send(scaled, {domain, true}, wanted.preemptible, census.preemptible.ready, token);
+                     endpointCounts.preemptible.ready)) {
+            send(scaled, {domain, true}, wanted.preemptible, endpointCounts.preemptible.ready,
+                 token);
             return true;
         }
-        if (isDue(scaled, pool.subjects[{domain, false}], wanted.ordinary, census.ordinary.ready)) {
-            send(scaled, {domain, false}, wanted.ordinary, census.ordinary.ready, token);
+        if (isDue(scaled, pool.subjects[{domain, false}], wanted.ordinary,
+                  endpointCounts.ordinary.ready)) {
+            send(scaled, {domain, false}, wanted.ordinary, endpointCounts.ordinary.ready, token);
             return true;
         }
     }
     return false;
 }
 
-bool WorkerOrdering::isDue(const ScaledPool &scaled, Subject &subject, int wanted, int ready)
+bool PoolAutoscaler::isDue(const ScaledPool &scaled, Subject &subject, int wanted, int ready)
 {
     const units::TimePoint now = clock_.now();
     const bool mayShrink = known_[scaled.name].baseline.has_value();
@@ -219,7 +221,7 @@
     return now >= *subject.fewerWantedSince + delay;
 }
 
-void WorkerOrdering::send(const ScaledPool &scaled, const SubjectKey &key, int wanted, int ready,
+void PoolAutoscaler::send(const ScaledPool &scaled, const SubjectKey &key, int wanted, int ready,
                           duties::FencingToken token)
 {
     const duties::WorkerOrder order{scaled.name, key.first, key.second, wanted};
@@ -246,7 +248,7 @@
         });
 }
 
-void WorkerOrdering::onOutcome(const duties::WorkerOrder &order, duties::CallOutcome outcome)
+void PoolAutoscaler::onOutcome(const duties::WorkerOrder &order, duties::CallOutcome outcome)
 {
     const units::TimePoint now = clock_.now();
     Pool &pool = known_[order.pool];
@@ -269,21 +271,21 @@
     }
 }
 
-void WorkerOrdering::noteGauges(const ScaledPool &scaled, const PoolSize &size)
+void PoolAutoscaler::noteGauges(const ScaledPool &scaled, const PoolSize &size)
 {
     const auto note = [&](const units::FailureDomain &domain, const std::string &kind,
-                          const KindCensus &census, int desired) {
+                          const EndpointCounts &endpointCounts, int desired) {
         const std::string labels = labelsOf(scaled, domain, kind);
         metrics_.set("monsoongrade_gateway_workers_desired", labels, desired);
-        metrics_.set("monsoongrade_gateway_workers_ready", labels, census.ready);
-        metrics_.set("monsoongrade_gateway_workers_draining", labels, census.draining);
+        metrics_.set("monsoongrade_gateway_workers_ready", labels, endpointCounts.ready);
+        metrics_.set("monsoongrade_gateway_workers_draining", labels, endpointCounts.draining);
     };
     for (const auto &[domain, wanted] : size) {
-        const auto found = scaled.census.domains.find(domain);
-        const DomainCensus census
-            = found == scaled.census.domains.end() ? DomainCensus() : found->second;
-        note(domain, "ordinary", census.ordinary, wanted.ordinary);
-        note(domain, "preemptible", census.preemptible, wanted.preemptible);
+        const auto found = scaled.endpointCounts.domains.find(domain);
+        const DomainEndpointCounts endpointCounts
+            = found == scaled.endpointCounts.domains.end() ? DomainEndpointCounts() : found->second;
+        note(domain, "ordinary", endpointCounts.ordinary, wanted.ordinary);
+        note(domain, "preemptible", endpointCounts.preemptible, wanted.preemptible);
     }
 }
 
--- a/src/scaling/preemptiblespread.cpp
+++ b/src/scaling/preemptiblespread.cpp
@@ -54,9 +54,10 @@
     const std::vector<units::FailureDomain> domains = byPrice(input.scaling);
     ByDomain counts;
     for (const units::FailureDomain &domain : domains) {
-        const auto census = input.census.domains.find(domain);
-        const int present
-            = census == input.census.domains.end() ? 0 : census->second.ordinary.ready;
+        const auto endpointCounts = input.endpointCounts.domains.find(domain);
+        const int present = endpointCounts == input.endpointCounts.domains.end()
+            ? 0
+            : endpointCounts->second.ordinary.ready;
         const int most = input.scaling.maxPerDomain - preemptible.at(domain);
         counts[domain] = std::max(std::min(present, most), input.scaling.minPerDomain);
     }
@@ -94,7 +95,7 @@
     int usable = 0;
     for (const auto &[domain, price] : input.scaling.prices) {
         wanted[domain] = 0;
-        usable += input.withoutPreemptible.count(domain) == 0 ? 1 : 0;
+        usable += input.preemptibleUnavailable.count(domain) == 0 ? 1 : 0;
     }
     if (!isWorthIt(input) || usable == 0)
         return wanted;
@@ -102,12 +103,12 @@
         = usable > 1 ? std::max(settings_.leftAfterLoss / (usable - 1), 1.0 / usable) : 1.0;
     const int each = roundedUp(share * input.needed);
     for (auto &[domain, count] : wanted) {
-        if (input.withoutPreemptible.count(domain) != 0)
+        if (input.preemptibleUnavailable.count(domain) != 0)
             continue;
-        const auto census = input.census.domains.find(domain);
-        const int ordinary = census == input.census.domains.end()
+        const auto endpointCounts = input.endpointCounts.domains.find(domain);
+        const int ordinary = endpointCounts == input.endpointCounts.domains.end()
             ? 0
-            : census->second.ordinary.ready + census->second.ordinary.draining;
+            : endpointCounts->second.ordinary.ready + endpointCounts->second.ordinary.draining;
         const int room
             = input.scaling.maxPerDomain - std::max(ordinary, input.scaling.minPerDomain);
         count = std::min(each, std::max(0, room));
@@ -129,9 +130,13 @@
     ByDomain ready;
     int ordinaryReady = 0;
     for (const auto &[domain, count] : preemptible) {
-        const auto census = input.census.domains.find(domain);
-        ready[domain] = census == input.census.domains.end() ? 0 : census->second.preemptible.ready;
-        ordinaryReady += census == input.census.domains.end() ? 0 : census->second.ordinary.ready;
+        const auto endpointCounts = input.endpointCounts.domains.find(domain);
+        ready[domain] = endpointCounts == input.endpointCounts.domains.end()
+            ? 0
+            : endpointCounts->second.preemptible.ready;
+        ordinaryReady += endpointCounts == input.endpointCounts.domains.end()
+            ? 0
+            : endpointCounts->second.ordinary.ready;
     }
     // Ordinary endpoints go only when preemptible ones have taken their place. None are ordered
     // for the time until those start: they would take as long.
--- a/tests/adapter/crashingrequests_test.cpp
+++ b/tests/adapter/crashingrequests_test.cpp
@@ -1,8 +1,8 @@
 #include "gatewayworld.h"
 
-#include <monsoongrade/gateway/quarantinekeeper.h>
+#include <monsoongrade/gateway/quarantinepersister.h>
 
-#include <platform/quarantineobjects.h>
+#include <platform/quarantineobjectstore.h>
 
 #include <doctest/doctest.h>
 
@@ -168,16 +168,16 @@
                         {units::EndpointId(std::to_string(endpoint)), routing::Incarnation(1)},
                         timers.now());
     }
-    bool isQuarantined() { return crashes.quarantineLeft(request, timers.now()).has_value(); }
+    bool isQuarantined() { return crashes.quarantineRemaining(request, timers.now()).has_value(); }
 
     const routing::RequestIdentity request{units::WorkspaceName("w1"),
                                            routing::RequestDigest(0xfedcba9876543210)};
     httpio::Timers &timers;
     observability::Metrics metrics;
-    routing::CrashLedger crashes;
+    routing::CrashTracker crashes;
     StoreClient client;
-    QuarantineObjects objects;
-    gateway::QuarantineKeeper keeper;
+    QuarantineObjectStore objects;
+    gateway::QuarantinePersister keeper;
 };
 
 } // namespace
@@ -190,9 +190,9 @@
     lost.keeper.start();
     for (int endpoint = 0; endpoint < MaxCrashes; ++endpoint)
         lost.crash(endpoint);
-    world.store.setMood(standins::StoreMood::Refusing);
+    world.store.setBehavior(standins::StoreBehavior::Refusing);
     world.runFor(std::chrono::milliseconds(1500));
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.runFor(std::chrono::milliseconds(1500));
     KeepingHost started(world);
     started.keeper.start();
--- a/tests/adapter/duties_test.cpp
+++ b/tests/adapter/duties_test.cpp
@@ -4,8 +4,8 @@
 
 #include <monsoongrade/gateway/dutyservice.h>
 
-#include <platform/dutycalls.h>
-#include <platform/dutyobjects.h>
+#include <platform/dutyobjectstore.h>
+#include <platform/dutyplatformclient.h>
 
 #include <doctest/doctest.h>
 
@@ -34,8 +34,9 @@
     {
         start();
         client = std::make_unique<StoreClient>(io, timers, gateway->state().log.metrics);
-        objects = std::make_unique<DutyObjects>(*client, store.address());
-        calls = std::make_unique<DutyCalls>(*client, duties.address(), settings.host.value());
+        objects = std::make_unique<DutyObjectStore>(*client, store.address());
+        calls = std::make_unique<DutyPlatformClient>(*client, duties.address(),
+                                                     settings.host.value());
         service = std::make_unique<gateway::DutyService>(
             timers, *gateway, gateway::DutyService::Stores{*objects, *objects, *objects}, *calls,
             clock);
@@ -52,8 +53,8 @@
 
     standins::StandInDuties duties;
     std::unique_ptr<StoreClient> client;
-    std::unique_ptr<DutyObjects> objects;
-    std::unique_ptr<DutyCalls> calls;
+    std::unique_ptr<DutyObjectStore> objects;
+    std::unique_ptr<DutyPlatformClient> calls;
     std::unique_ptr<gateway::DutyService> service;
 };
 
@@ -131,7 +132,7 @@
     const auto holder = [&] {
         std::string found;
         bool isAnswered = false;
-        world.objects->read([&](const duties::LeaseAnswer &answer) {
+        world.objects->read([&](const duties::LeaseCallResult &answer) {
             found = answer.stored.record.holder;
             isAnswered = true;
         });
--- a/tests/adapter/gatewayworld.h
+++ b/tests/adapter/gatewayworld.h
@@ -11,9 +11,9 @@
 #include <monsoongrade/httpio/socketoptions.h>
 #include <monsoongrade/units/bootclock.h>
 
-#include <platform/platformdialect.h>
-#include <platform/platformfeed.h>
+#include <platform/platformheadercodec.h>
 #include <platform/platformpages.h>
+#include <platform/platformwatcher.h>
 
 #include <unistd.h>
 
@@ -60,9 +60,10 @@
     void start()
     {
         gateway = std::make_unique<gateway::Gateway>(
-            io, timers, settings, dialect, gateway::Gateway::Pages{serveReadiness, serveDirectory});
+            io, timers, settings, dialect,
+            gateway::Gateway::PageHandlers{serveReadiness, serveDirectory});
         gateway->start();
-        feed = std::make_unique<PlatformFeed>(io, timers, *gateway, store.address(), RelayPort);
+        feed = std::make_unique<PlatformWatcher>(io, timers, *gateway, store.address(), RelayPort);
         feed->start();
     }
 
@@ -86,7 +87,7 @@
     bool awaitServing(std::size_t endpoints)
     {
         return runUntil(
-            [&] { return gateway->isServing() && gateway->state().roster.size() == endpoints; });
+            [&] { return gateway->isServing() && gateway->state().registry.size() == endpoints; });
     }
 
     std::shared_ptr<RawClient> connect()
@@ -129,9 +130,9 @@
     httpio::Timers timers;
     standins::StandInStore store;
     gateway::GatewaySettings settings;
-    PlatformDialect dialect;
+    PlatformHeaderCodec dialect;
     std::unique_ptr<gateway::Gateway> gateway;
-    std::unique_ptr<PlatformFeed> feed;
+    std::unique_ptr<PlatformWatcher> feed;
 };
 
 // A route of the operator's configuration.
--- a/tests/adapter/platformfeed_test.cpp
+++ b/tests/adapter/platformwatcher_test.cpp
@@ -15,8 +15,9 @@
 
 bool isAvailable(GatewayWorld &world, const std::string &id)
 {
-    for (const auto &endpoint : world.gateway->state().roster.available(units::PoolName("plain"))) {
-        if (endpoint->described.id.value() == id)
+    for (const auto &endpoint :
+         world.gateway->state().registry.available(units::PoolName("plain"))) {
+        if (endpoint->registration.id.value() == id)
             return true;
     }
     return false;
@@ -24,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("PlatformFeed.NewVersionIsInForceWithinMilliseconds")
+TEST_CASE("PlatformWatcher.NewVersionIsInForceWithinMilliseconds")
 {
     GatewayWorld world;
     world.store.put("config", "main", operatorsConfiguration(1));
@@ -35,7 +36,7 @@
         world.runUntil([&] { return versionInForce(world) == 2; }, std::chrono::milliseconds(200)));
 }
 
-TEST_CASE("PlatformFeed.LateEventAboutAnOlderVersionChangesNothing")
+TEST_CASE("PlatformWatcher.LateEventAboutAnOlderVersionChangesNothing")
 {
     GatewayWorld world;
     world.store.put("config", "main", operatorsConfiguration(1));
@@ -49,7 +50,7 @@
     CHECK(versionInForce(world) == 2);
 }
 
-TEST_CASE("PlatformFeed.LateEventAboutALeavingEndpointDoesNotBringItBack")
+TEST_CASE("PlatformWatcher.LateEventAboutALeavingEndpointDoesNotBringItBack")
 {
     // The endpoint is leaving. An event of before that arrives late and says that it is ready; new
     // work sent there would be cut off.
@@ -74,7 +75,7 @@
     CHECK_FALSE(isAvailable(world, "p1"));
 }
 
-TEST_CASE("PlatformFeed.RemovalInAHistoryGapIsSeenByTheList")
+TEST_CASE("PlatformWatcher.RemovalInAHistoryGapIsSeenByTheList")
 {
     // An endpoint is removed and the store drops its history before the watch could tell. Only a
     // whole list shows that the endpoint is gone.
@@ -84,15 +85,16 @@
     world.announce("p2", "plain", "127.0.0.1:9");
     world.start();
     REQUIRE(world.awaitServing(2));
-    world.store.setMood(standins::StoreMood::Silent); // the watch hears nothing of the removal
+    world.store.setBehavior(
+        standins::StoreBehavior::Silent); // the watch hears nothing of the removal
     world.store.remove("servers", "p1");
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.store.compact();
     CHECK(world.runUntil([&] { return !isAvailable(world, "p1"); }, std::chrono::seconds(1)));
     CHECK(isAvailable(world, "p2"));
 }
 
-TEST_CASE("PlatformFeed.UnreadableEntriesNameNoEndpointAndHarmNoOther")
+TEST_CASE("PlatformWatcher.UnreadableEntriesNameNoEndpointAndHarmNoOther")
 {
     GatewayWorld world;
     world.store.put("config", "main", operatorsConfiguration());
@@ -108,7 +110,7 @@
     CHECK(isAvailable(world, "p1"));
 }
 
-TEST_CASE("PlatformFeed.DrainingEndpointGetsNoNewRequests")
+TEST_CASE("PlatformWatcher.DrainingEndpointGetsNoNewRequests")
 {
     GatewayWorld world;
     world.store.put("config", "main", operatorsConfiguration());
@@ -120,7 +122,7 @@
         world.runUntil([&] { return !isAvailable(world, "p1"); }, std::chrono::milliseconds(200)));
 }
 
-TEST_CASE("PlatformFeed.EntriesMissingAfterAnOutageAreKeptForTwoSeconds")
+TEST_CASE("PlatformWatcher.EntriesMissingAfterAnOutageAreKeptForTwoSeconds")
 {
     // While the store is away, entries lapse though their endpoints live. They are written again
     // within two seconds of its return; one that is still missing then is gone.
@@ -129,17 +131,17 @@
     world.announce("p1", "plain", "127.0.0.1:9");
     world.start();
     REQUIRE(world.awaitServing(1));
-    world.store.setMood(standins::StoreMood::Refusing);
+    world.store.setBehavior(standins::StoreBehavior::Refusing);
     world.store.compact(); // ends the waiting watches; the next calls are refused
     world.runFor(std::chrono::milliseconds(1500));
     world.store.remove("servers", "p1");
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.runFor(std::chrono::milliseconds(1200));
     CHECK(isAvailable(world, "p1"));
     CHECK(world.runUntil([&] { return !isAvailable(world, "p1"); }, std::chrono::seconds(2)));
 }
 
-TEST_CASE("PlatformFeed.KeysAreNotTrustedWithoutNewsFromTheStore")
+TEST_CASE("PlatformWatcher.KeysAreNotTrustedWithoutNewsFromTheStore")
 {
     // The store goes silent and a key might be revoked meanwhile. Within the bound of five seconds
     // the host stops accepting keys; it refuses as "come back later", not as an unknown key.
@@ -150,17 +152,17 @@
     world.start();
     REQUIRE(world.awaitServing(1));
     REQUIRE(world.call(request("GET", "/safe/a", "id1"))->status() == 200);
-    world.store.setMood(standins::StoreMood::Silent);
+    world.store.setBehavior(standins::StoreBehavior::Silent);
     CHECK(world.runUntil([&] { return !world.gateway->isServing(); }, std::chrono::seconds(5)));
     CHECK(world.call(request("GET", "/safe/a", "id2"))->status() == 503);
     CHECK(world.call(request("GET", "/nowhere/a", "id3"))->status() == 503);
     CHECK(world.call(request("GET", "/public/a", "id4"))->status() == 200);
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     REQUIRE(world.runUntil([&] { return world.gateway->isServing(); }, std::chrono::seconds(4)));
     CHECK(world.call(request("GET", "/safe/a", "id5"))->status() == 200);
 }
 
-TEST_CASE("PlatformFeed.LeaseHasRunOutAfterASuspension")
+TEST_CASE("PlatformWatcher.LeaseHasRunOutAfterASuspension")
 {
     // The host is suspended for a minute. A clock that does not count that time would call the
     // configuration fresh and accept a key that was revoked in the meantime.
@@ -173,7 +175,7 @@
     CHECK(world.runUntil([&] { return world.gateway->isServing(); }));
 }
 
-TEST_CASE("PlatformFeed.WorkerRestartedUnderItsIdIsANewOne")
+TEST_CASE("PlatformWatcher.WorkerRestartedUnderItsIdIsANewOne")
 {
     // Same id and address, but another start: what was known of its load and health is void.
     GatewayWorld world;
@@ -181,15 +183,15 @@
     world.announce("p1", "plain", "127.0.0.1:9", 1);
     world.start();
     REQUIRE(world.awaitServing(1));
-    const auto before = world.gateway->state().roster.available(units::PoolName("plain")).at(0);
+    const auto before = world.gateway->state().registry.available(units::PoolName("plain")).at(0);
     world.announce("p1", "plain", "127.0.0.1:9", 2);
     REQUIRE(world.runUntil([&] { return before->leaving; }));
-    const auto after = world.gateway->state().roster.available(units::PoolName("plain")).at(0);
+    const auto after = world.gateway->state().registry.available(units::PoolName("plain")).at(0);
     CHECK(after != before);
-    CHECK(after->described.incarnation.value() == 2);
+    CHECK(after->registration.incarnation.value() == 2);
 }
 
-TEST_CASE("PlatformFeed.IdleHostMakesAboutOneCallASecond")
+TEST_CASE("PlatformWatcher.IdleHostMakesAboutOneCallASecond")
 {
     GatewayWorld world;
     world.store.put("config", "main", operatorsConfiguration());
--- a/tests/adapter/storecalls_test.cpp
+++ b/tests/adapter/storecalls_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace monsoongrade;
 using namespace monsoongrade::platform;
-using standins::StoreMood;
+using standins::StoreBehavior;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -95,14 +95,14 @@
 TEST_CASE("StoreCalls.OutageCostsAsManyCallsForAnyFleetAndIsOverWithinASecond")
 {
     // The store refuses everybody for six seconds. A few hosts try it; the others wait at these.
-    for (const StoreMood mood : {StoreMood::Refusing, StoreMood::LosingAnswers}) {
+    for (const StoreBehavior mood : {StoreBehavior::Refusing, StoreBehavior::DroppingResponses}) {
         StoreFleet fleet(Hosts);
         REQUIRE(fleet.startAll());
         fleet.runFor(seconds(5));
-        fleet.store.setMood(mood);
+        fleet.store.setBehavior(mood);
         CHECK(callsIn(fleet, seconds(6)) <= 6 * OutageCallsPerSecond);
         CHECK_FALSE(fleet.allServe()); // keys are not accepted without a proof
-        fleet.store.setMood(StoreMood::Normal);
+        fleet.store.setBehavior(StoreBehavior::Normal);
         CHECK(fleet.runUntil([&] { return fleet.allServe(); }, milliseconds(1200)));
     }
 }
@@ -112,9 +112,9 @@
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
-    fleet.store.setMood(StoreMood::Silent);
+    fleet.store.setBehavior(StoreBehavior::Silent);
     CHECK(callsIn(fleet, seconds(6)) <= 6 * OutageCallsPerSecond);
-    fleet.store.setMood(StoreMood::Normal);
+    fleet.store.setBehavior(StoreBehavior::Normal);
     // A call that waits in silence takes 1.2 s to be given up.
     CHECK(fleet.runUntil([&] { return fleet.allServe(); }, milliseconds(2500)));
 }
@@ -127,7 +127,7 @@
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
     for (std::size_t host = 0; host < Hosts; host += 3)
-        fleet.setMood(host, StoreMood::Refusing);
+        fleet.setBehavior(host, StoreBehavior::Refusing);
     const int calls = fleet.callsWhile([&] {
         CHECK(servesThroughout(fleet, seconds(3)));
         fleet.putConfiguration(2);
@@ -144,7 +144,7 @@
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
     for (const std::size_t reader : fleet.readers())
-        fleet.setMood(reader, StoreMood::Refusing);
+        fleet.setBehavior(reader, StoreBehavior::Refusing);
     const int calls = fleet.callsWhile([&] { CHECK(servesThroughout(fleet, seconds(5))); });
     CHECK(calls <= 5 * OutageCallsPerSecond);
 }
@@ -159,7 +159,7 @@
     fleet.store.compact();
     fleet.putEndpoint("p2");
     CHECK(fleet.runUntil([&] { return fleet.allKnow("p2"); }, milliseconds(1000)));
-    CHECK(fleet.store.lists() - lists <= 2 * int(routing::ReadersOfFleet) + 4);
+    CHECK(fleet.store.lists() - lists <= 2 * int(routing::StoreReaderCount) + 4);
 }
 
 TEST_CASE("StoreCalls.ReadersThatAreKilledAllAtOnceAreReplacedWithinASecond")
--- a/tests/adapter/storefleet.cpp
+++ b/tests/adapter/storefleet.cpp
@@ -34,27 +34,27 @@
 struct StoreFleet::Host
 {
     Host(const units::Clock &clock, const gateway::GatewaySettings &settings,
-         const PlatformDialect &dialect, const asio::ip::tcp::endpoint &store)
+         const PlatformHeaderCodec &dialect, const asio::ip::tcp::endpoint &store)
         : timers(io, clock)
         , gateway(io, timers, settings, dialect, {serveReadiness, serveDirectory})
     {
         gateway.start();
-        feed = std::make_unique<PlatformFeed>(io, timers, gateway, store, RelayPort);
+        feed = std::make_unique<PlatformWatcher>(io, timers, gateway, store, RelayPort);
         feed->start();
     }
 
     bool knows(const std::string &id)
     {
-        const auto available = gateway.state().roster.available(units::PoolName("plain"));
+        const auto available = gateway.state().registry.available(units::PoolName("plain"));
         return std::any_of(available.begin(), available.end(), [&](const auto &endpoint) {
-            return endpoint->described.id.value() == id;
+            return endpoint->registration.id.value() == id;
         });
     }
 
     asio::io_context io;
     httpio::Timers timers;
     gateway::Gateway gateway;
-    std::unique_ptr<PlatformFeed> feed;
+    std::unique_ptr<PlatformWatcher> feed;
     bool isFrozen = false;
 };
 
@@ -128,9 +128,9 @@
     hosts_[host]->isFrozen = isFrozen;
 }
 
-void StoreFleet::setMood(std::size_t host, standins::StoreMood mood)
+void StoreFleet::setBehavior(std::size_t host, standins::StoreBehavior mood)
 {
-    store.setMood(mood, storeAddresses_[host]);
+    store.setBehavior(mood, storeAddresses_[host]);
 }
 
 std::vector<std::size_t> StoreFleet::readers() const
@@ -138,7 +138,7 @@
     const auto live = std::find_if(hosts_.begin(), hosts_.end(),
                                    [](const auto &host) { return host && !host->isFrozen; });
     const std::vector<std::string> ips
-        = routing::storeReaders((*live)->gateway.hosts(), routing::ReadersOfFleet);
+        = routing::storeReaders((*live)->gateway.hosts(), routing::StoreReaderCount);
     std::vector<std::size_t> readers;
     for (std::size_t host = 0; host < size(); ++host) {
         if (std::find(ips.begin(), ips.end(), ipOf(host)) != ips.end())
@@ -185,7 +185,7 @@
                   return division.isUsedIn(cell, pool, units::EndpointId(endpoint));
               });
         return host.gateway.isServing() && division.cells() == cells
-            && host.gateway.state().roster.available(pool).size() == std::size_t(inCell);
+            && host.gateway.state().registry.available(pool).size() == std::size_t(inCell);
     });
 }
 
--- a/tests/adapter/storefleet.h
+++ b/tests/adapter/storefleet.h
@@ -5,8 +5,8 @@
 
 #include <monsoongrade/units/bootclock.h>
 
-#include <platform/platformdialect.h>
-#include <platform/platformfeed.h>
+#include <platform/platformheadercodec.h>
+#include <platform/platformwatcher.h>
 
 #include <functional>
 #include <memory>
@@ -32,7 +32,7 @@
     // The host does nothing until it is thawed; its sockets stay open.
     void freeze(std::size_t host, bool isFrozen);
     // How the store treats the calls of one host.
-    void setMood(std::size_t host, standins::StoreMood mood);
+    void setBehavior(std::size_t host, standins::StoreBehavior mood);
 
     std::size_t size() const { return hosts_.size(); }
     // Hosts that read the store for the others, by the count of the first live host.
@@ -68,7 +68,7 @@
     units::BootClock clock_;
     asio::io_context io_;
     httpio::Timers timers_;
-    PlatformDialect dialect_;
+    PlatformHeaderCodec dialect_;
     std::vector<asio::ip::tcp::endpoint> storeAddresses_;
     std::vector<std::unique_ptr<Host>> hosts_; // null: not running
     std::vector<std::string> endpoints_; // ids of those that were put
--- a/tests/adapter/storerelay_test.cpp
+++ b/tests/adapter/storerelay_test.cpp
@@ -55,7 +55,7 @@
             readFromStore();
     }
     void onLongList() override { ++longLists; }
-    bool wasAwayForAll(units::Duration) const override { return true; }
+    bool wasFleetWideOutage(units::Duration) const override { return true; }
     void readFromStore() { source = {}; }
     void readFromHost()
     {
@@ -103,7 +103,7 @@
     }
     void begin()
     {
-        lease.prove(clock.now());
+        lease.renew(clock.now());
         reader.start();
         REQUIRE(runUntil([&] { return !readerSees.names.empty(); }));
         follower.start();
@@ -173,11 +173,12 @@
     RelayWorld world;
     world.announce("p1", "plain", "127.0.0.1:9");
     world.begin();
-    world.store.setMood(standins::StoreMood::Silent); // keeps the events until they are together
+    world.store.setBehavior(
+        standins::StoreBehavior::Silent); // keeps the events until they are together
     world.announce("p2", "plain", "127.0.0.1:9");
     world.announce("p3", "plain", "127.0.0.1:9");
     world.store.remove("servers", "p1");
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.announce("p4", "plain", "127.0.0.1:9");
     const std::set<std::string> expected{"p2", "p3", "p4"};
     CHECK(world.runUntil([&] { return world.followerSees.names == expected; }, milliseconds(500)));
@@ -189,12 +190,12 @@
     // fresh proof, or a revoked key would live on for that much longer.
     RelayWorld world;
     world.announce("p1", "plain", "127.0.0.1:9");
-    world.lease.prove(world.clock.now());
+    world.lease.renew(world.clock.now());
     world.reader.start();
     REQUIRE(world.runUntil([&] { return !world.readerSees.names.empty(); }));
     const units::TimePoint readersProof = world.clock.now() - seconds(2);
     world.lease = routing::FreshnessLease(seconds(5), milliseconds(1300));
-    world.lease.prove(readersProof);
+    world.lease.renew(readersProof);
     world.follower.start();
     world.runFor(milliseconds(1000));
     REQUIRE(world.followerSees.provenAt != units::TimePoint{});
@@ -251,7 +252,7 @@
     world.announce("p1", "plain", "127.0.0.1:9");
     world.begin();
     world.relay.onCurrent("servers", false);
-    world.followerSource.source.isPatient = true;
+    world.followerSource.source.waitsForStore = true;
     world.runFor(milliseconds(500));
     world.announce("p2", "plain", "127.0.0.1:9");
     world.relay.onCurrent("servers", true);
@@ -268,10 +269,10 @@
     world.announce("p2", "plain", "127.0.0.1:9");
     world.begin();
     const int lists = world.followerSees.lists;
-    world.store.setMood(standins::StoreMood::Silent); // keeps the watch from telling
+    world.store.setBehavior(standins::StoreBehavior::Silent); // keeps the watch from telling
     world.store.remove("servers", "p1");
     world.announce("p3", "plain", "127.0.0.1:9");
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.store.compact();
     const std::set<std::string> expected{"p2", "p3"};
     CHECK(world.runUntil([&] { return world.followerSees.names == expected; }, seconds(1)));
@@ -295,7 +296,7 @@
     MirroredObject old;
     old.name = "p1";
     old.revision = routing::Revision(before - 1);
-    world.lease.prove(world.clock.now());
+    world.lease.renew(world.clock.now());
     world.relay.onList("servers", {old}, before);
     world.relay.onCurrent("servers", true);
     world.followerSource.readFromHost();
@@ -333,9 +334,9 @@
     world.follower.start();
     REQUIRE(world.runUntil([&] { return world.followerSees.names.size() == 1; }));
     const int lists = world.store.lists();
-    world.store.setMood(standins::StoreMood::LosingAnswers);
+    world.store.setBehavior(standins::StoreBehavior::DroppingResponses);
     REQUIRE(world.runUntil([&] { return world.followerSource.failures > 0; }, seconds(3)));
-    world.store.setMood(standins::StoreMood::Normal);
+    world.store.setBehavior(standins::StoreBehavior::Normal);
     world.announce("p2", "plain", "127.0.0.1:9");
     CHECK(world.runUntil([&] { return world.followerSees.names.size() == 2; }, seconds(1)));
     CHECK(world.store.lists() == lists);
@@ -396,7 +397,7 @@
     }
     void beginDivided()
     {
-        lease.prove(clock.now());
+        lease.renew(clock.now());
         reader.start();
         REQUIRE(runUntil([&] { return readerSees.names.size() == 41; }));
         follower.start();
@@ -458,7 +459,7 @@
 TEST_CASE("StoreRelay.FollowerThatStandsByHoldsAllEndpointsAndBecomesAReaderWithoutAList")
 {
     DividedWorld world;
-    world.followerSource.source.wantsAll = true;
+    world.followerSource.source.wantsAllObjects = true;
     world.beginDivided();
     CHECK(world.followerSees.names == world.readerSees.names);
     const std::string other = world.nameInCell(false);
--- a/tests/duties/dutyworld.cpp
+++ b/tests/duties/dutyworld.cpp
@@ -99,23 +99,23 @@
         const units::WorkspaceName workspace(
             "w" + std::to_string(std::uniform_int_distribution<int>(1, Workspaces)(random_)));
         ++begun_[windowNow()][workspace];
-        host.ledger.count(windows_.at(host.wallTime.at(host.now())), workspace);
+        host.ledger.increment(windows_.windowAt(host.wallTime.at(host.now())), workspace);
     }
 }
 
 // What gossip tells.
-std::vector<routing::PeerNews> DutyWorld::liveHosts() const
+std::vector<routing::PeerUpdate> DutyWorld::liveHosts() const
 {
-    std::vector<routing::PeerNews> live;
+    std::vector<routing::PeerUpdate> live;
     for (const auto &host : hosts_) {
         if (!host->isAlive && now_ >= host->endedAt + LossNoticedAfter)
             continue;
-        routing::PeerNews news;
+        routing::PeerUpdate news;
         news.ip = std::to_string(host->machine);
         news.failureDomain = units::FailureDomain("z" + std::to_string(host->machine % Domains));
         news.state = host->isStopping ? routing::PeerState::Leaving : routing::PeerState::Serving;
         news.uptime = now_ - host->startedAt;
-        news.dutyToken = host->isAlive ? host->holder->tokenInForce().value() : 0;
+        news.dutyToken = host->isAlive ? host->holder->currentToken().value() : 0;
         live.push_back(news);
     }
     return live;
@@ -123,15 +123,15 @@
 
 void DutyWorld::tellCounts(Host &host)
 {
-    if (now_ < host.toldAt + CountTelling::interval(hosts_.size()))
+    if (now_ < host.toldAt + UsagePublisher::interval(hosts_.size()))
         return;
     host.toldAt = now_;
-    for (const CountNews &news :
-         host.telling.round(countKeepers(liveHosts()), host.ledger, host.now())) {
+    for (const UsageUpdate &news :
+         host.telling.nextUpdates(usageCollectors(liveHosts()), host.ledger, host.now())) {
         if (settings_.hasFaults && happens(0.03))
             continue;
-        const auto keeper = std::size_t(std::stoi(news.keeper));
-        const std::string reporter = host.ledger.self();
+        const auto keeper = std::size_t(std::stoi(news.collector));
+        const std::string reporter = host.ledger.sourceId();
         at(now_ + between(1, 5), [this, keeper, reporter, entries = news.entries] {
             if (!hosts_[keeper]->isAlive)
                 return;
@@ -167,7 +167,7 @@
 int DutyWorld::holder() const
 {
     for (const auto &host : hosts_) {
-        if (host->isAlive && host->holder->tokenInForce() != FencingToken())
+        if (host->isAlive && host->holder->currentToken() != FencingToken())
             return host->machine;
     }
     return -1;
--- a/tests/duties/dutyworld.h
+++ b/tests/duties/dutyworld.h
@@ -1,9 +1,9 @@
 #ifndef MONSOONGRADE_TESTS_DUTIES_DUTYWORLD_H
 #define MONSOONGRADE_TESTS_DUTIES_DUTYWORLD_H
 
-#include <monsoongrade/duties/counttelling.h>
-#include <monsoongrade/duties/dutyholder.h>
-#include <monsoongrade/duties/usagereporting.h>
+#include <monsoongrade/duties/dutyrunner.h>
+#include <monsoongrade/duties/usagepublisher.h>
+#include <monsoongrade/duties/usagereporter.h>
 #include <monsoongrade/routing/peertable.h>
 
 #include <functional>
@@ -60,7 +60,7 @@
     // Windows that are due and whose report is missing or off by more than the share for some
     // workspace; from is the first that counts.
     std::vector<WindowNumber> badWindows(WindowNumber from, double tolerance) const;
-    WindowNumber windowNow() const { return windows_.at(WallTime(now_.time_since_epoch())); }
+    WindowNumber windowNow() const { return windows_.windowAt(WallTime(now_.time_since_epoch())); }
     // Store calls made so far, reads that may be stale not included.
     int storeCalls() const { return storeCalls_; }
     int staleReads() const { return staleReads_; }
@@ -75,7 +75,7 @@
     void beginRequests(Host &host);
     void exchangeWallTimes(Host &host);
     void tellCounts(Host &host);
-    std::vector<routing::PeerNews> liveHosts() const;
+    std::vector<routing::PeerUpdate> liveHosts() const;
     void injectFault();
     units::Duration between(int fromMs, int toMs);
     bool happens(double share);
--- a/tests/duties/dutyworldhost.h
+++ b/tests/duties/dutyworldhost.h
@@ -28,11 +28,11 @@
         , ledger("host-" + std::to_string(machineToBe) + "/" + std::to_string(life))
         , telling(std::to_string(machineToBe))
     {
-        Lease::Settings lease{ledger.self(), LeaseDuration,
+        Lease::Settings lease{ledger.sourceId(), LeaseDuration,
                               world.settings_.pausesAfterLoss ? LeaseDuration : units::Duration()};
-        holder = std::make_unique<DutyHolder>(lease, *this, *this);
-        reporting = std::make_unique<UsageReporting>(world.windows_, ledger, wallTime, *this, *this,
-                                                     *this);
+        holder = std::make_unique<DutyRunner>(lease, *this, *this);
+        reporting = std::make_unique<UsageReporter>(world.windows_, ledger, wallTime, *this, *this,
+                                                    *this);
         holder->add(*reporting);
         holder->add(*this);
     }
@@ -46,10 +46,10 @@
     void read(LeaseStore::Done done) override
     {
         ++world_.staleReads_;
-        auto answer = std::make_shared<LeaseAnswer>();
+        auto answer = std::make_shared<LeaseCallResult>();
         world_.storeCall(
             *this, [this, answer] { show(*answer); },
-            [answer, done](bool isAnswered) { done(isAnswered ? *answer : LeaseAnswer{}); });
+            [answer, done](bool isAnswered) { done(isAnswered ? *answer : LeaseCallResult{}); });
     }
     void create(const LeaseRecord &record, LeaseStore::Done done) override
     {
@@ -61,7 +61,8 @@
         write(record, expected, std::move(done));
     }
 
-    void fix(WindowNumber window, const UsageCounts &counts, UsageReportStore::Done done) override
+    void createOrRead(WindowNumber window, const UsageCounts &counts,
+                      UsageReportStore::Done done) override
     {
         ++world_.storeCalls_;
         auto fixed = std::make_shared<UsageCounts>(counts);
@@ -108,10 +109,10 @@
     units::TimePoint frozenUntil{};
 
 private:
-    void show(LeaseAnswer &answer)
+    void show(LeaseCallResult &answer)
     {
         answer.outcome
-            = world_.lease_ ? LeaseAnswer::Outcome::Stored : LeaseAnswer::Outcome::Missing;
+            = world_.lease_ ? LeaseCallResult::Outcome::Stored : LeaseCallResult::Outcome::Missing;
         if (world_.lease_)
             answer.stored = *world_.lease_;
     }
@@ -121,7 +122,7 @@
         ++world_.storeCalls_;
         if (!world_.settings_.countsTokens)
             record.token = FencingToken(1);
-        auto answer = std::make_shared<LeaseAnswer>();
+        auto answer = std::make_shared<LeaseCallResult>();
         world_.storeCall(
             *this,
             [this, record, expected, answer] {
@@ -132,7 +133,7 @@
                     world_.lease_ = StoredLease{record, routing::Revision(++world_.revision_)};
                 show(*answer);
             },
-            [answer, done](bool isAnswered) { done(isAnswered ? *answer : LeaseAnswer{}); });
+            [answer, done](bool isAnswered) { done(isAnswered ? *answer : LeaseCallResult{}); });
     }
 
     DutyWorld &world_;
@@ -141,11 +142,11 @@
 
 public:
     UsageLedger ledger;
-    CountTelling telling;
+    UsagePublisher telling;
     units::TimePoint toldAt{};
     WallTimeEstimate wallTime;
-    std::unique_ptr<DutyHolder> holder;
-    std::unique_ptr<UsageReporting> reporting;
+    std::unique_ptr<DutyRunner> holder;
+    std::unique_ptr<UsageReporter> reporting;
 };
 
 } // namespace monsoongrade::duties
--- a/tests/gateway/directory_test.cpp
+++ b/tests/gateway/directory_test.cpp
@@ -7,16 +7,16 @@
 
 using namespace monsoongrade;
 using gateway::hostsForCallers;
-using routing::PeerNews;
 using routing::PeerState;
+using routing::PeerUpdate;
 
 namespace {
 
 using Hosts = std::vector<std::string>;
 
-PeerNews peer(const std::string &ip, PeerState state, const std::string &domain = "d")
+PeerUpdate peer(const std::string &ip, PeerState state, const std::string &domain = "d")
 {
-    PeerNews news;
+    PeerUpdate news;
     news.ip = ip;
     news.state = state;
     news.failureDomain = units::FailureDomain(domain);
@@ -24,9 +24,9 @@
 }
 
 // count hosts, a third in each of three domains.
-std::vector<PeerNews> fleet(int count)
+std::vector<PeerUpdate> fleet(int count)
 {
-    std::vector<PeerNews> hosts;
+    std::vector<PeerUpdate> hosts;
     for (int i = 0; i < count; ++i) {
         const std::string domain = std::to_string(i % 3);
         hosts.push_back(
@@ -44,8 +44,9 @@
                                units::FailureDomain("d"), 64);
     };
     CHECK(hosts(PeerState::Serving, PeerState::Serving, PeerState::Leaving) == Hosts{"own", "p1"});
-    CHECK(hosts(PeerState::Leaving, PeerState::Serving, PeerState::Waiting) == Hosts{"p1"});
-    CHECK(hosts(PeerState::Waiting, PeerState::Waiting, PeerState::Leaving) == Hosts{"own", "p1"});
+    CHECK(hosts(PeerState::Leaving, PeerState::Serving, PeerState::NotReady) == Hosts{"p1"});
+    CHECK(hosts(PeerState::NotReady, PeerState::NotReady, PeerState::Leaving)
+          == Hosts{"own", "p1"});
     CHECK(hosts(PeerState::Leaving, PeerState::Leaving, PeerState::Leaving) == Hosts{"own"});
 }
 
@@ -53,7 +54,7 @@
 {
     // 81 hosts and room for 64. Taking the first 64 by address left 17 hosts without a caller and
     // the others with more than their share.
-    const std::vector<PeerNews> all = fleet(81);
+    const std::vector<PeerUpdate> all = fleet(81);
     std::map<std::string, int> named;
     for (const char *domain : {"0", "1", "2"}) {
         for (const std::string &ip : hostsForCallers(all[0], {all.begin() + 1, all.end()},
@@ -65,13 +66,13 @@
 
 TEST_CASE("Directory.CallersStayInTheirDomainIfItHasEnoughHosts")
 {
-    const std::vector<PeerNews> all = fleet(81);
+    const std::vector<PeerUpdate> all = fleet(81);
     const Hosts hosts
         = hostsForCallers(all[0], {all.begin() + 1, all.end()}, units::FailureDomain("1"), 64);
     CHECK(hosts.size() == 27);
     for (const std::string &ip : hosts)
         CHECK_MESSAGE(ip.substr(0, 5) == "10.1.", ip, " is not in domain 1");
-    const std::vector<PeerNews> small = fleet(6);
+    const std::vector<PeerUpdate> small = fleet(6);
     CHECK(hostsForCallers(small[0], {small.begin() + 1, small.end()}, units::FailureDomain("1"), 64)
               .size()
           == 6);
@@ -81,10 +82,10 @@
 {
     // Callers ask several hosts in turn. If each named others of too many, callers would close
     // connections and make new ones with each answer.
-    const std::vector<PeerNews> all = fleet(81);
+    const std::vector<PeerUpdate> all = fleet(81);
     std::set<Hosts> answers;
     for (std::size_t own = 0; own < 3; ++own) {
-        std::vector<PeerNews> others = all;
+        std::vector<PeerUpdate> others = all;
         others.erase(others.begin() + std::ptrdiff_t(own));
         Hosts hosts = hostsForCallers(all[own], others, units::FailureDomain("elsewhere"), 64);
         CHECK(hosts.size() == 64);
--- a/tests/gateway/eventrelay_test.cpp
+++ b/tests/gateway/eventrelay_test.cpp
@@ -25,7 +25,7 @@
     CHECK(relay.take("id: 1\nda", at(0)).empty());
     CHECK(relay.take("ta: d\n\nid: 2", at(0)).substr(0, 6) == "id: 1\n");
     CHECK(relay.lastId() == "1");
-    CHECK(relay.hasRest());
+    CHECK(relay.hasPartialEvent());
 }
 
 TEST_CASE("EventRelay.ResumeLeavesOutWhatTheClientHas")
--- a/tests/gateway/peergossip_test.cpp
+++ b/tests/gateway/peergossip_test.cpp
@@ -49,8 +49,8 @@
     units::BootClock clock;
     asio::io_context io;
     httpio::Timers timers;
-    routing::CrashLedger crashes;
-    routing::LimitBoard limits;
+    routing::CrashTracker crashes;
+    routing::RateLimitTable limits;
     PeerGossip gossip;
 };
 
@@ -73,7 +73,9 @@
     }
     bool isQuarantined(std::size_t host) const
     {
-        return hosts[host]->crashes.quarantineLeft(Fatal, hosts[host]->timers.now()).has_value();
+        return hosts[host]
+            ->crashes.quarantineRemaining(Fatal, hosts[host]->timers.now())
+            .has_value();
     }
     // Runs the hosts until the condition holds, for 3 s at most; whether it does.
     bool runUntil(const std::function<bool()> &isDone)
@@ -127,14 +129,14 @@
 TEST_CASE("PeerGossip.LimitOfAnEndpointReachesOtherHosts")
 {
     Fleet fleet(3);
-    std::optional<routing::LimitNews> heard;
-    fleet.hosts[2]->gossip.onLimit([&](const routing::LimitNews &news) { heard = news; });
-    const routing::EndpointStart endpoint{units::EndpointId("e1"), routing::Incarnation(7)};
-    fleet.hosts[1]->limits.hear(endpoint, 1.6, fleet.hosts[1]->timers.now());
+    std::optional<routing::RateLimitUpdate> heard;
+    fleet.hosts[2]->gossip.onLimit([&](const routing::RateLimitUpdate &news) { heard = news; });
+    const routing::EndpointInstance endpoint{units::EndpointId("e1"), routing::Incarnation(7)};
+    fleet.hosts[1]->limits.update(endpoint, 1.6, fleet.hosts[1]->timers.now());
     REQUIRE(fleet.runUntil([&] { return heard.has_value(); }));
     CHECK(heard->endpoint == endpoint);
     CHECK(heard->limit == 1.6);
     heard.reset();
-    fleet.hosts[1]->limits.hear(endpoint, std::nullopt, fleet.hosts[1]->timers.now());
+    fleet.hosts[1]->limits.update(endpoint, std::nullopt, fleet.hosts[1]->timers.now());
     REQUIRE(fleet.runUntil([&] { return heard && !heard->limit; }));
 }
--- a/tests/gateway/sharedplacement_test.cpp
+++ b/tests/gateway/placementservice_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/gateway/sharedplacement.h>
+#include <monsoongrade/gateway/placementservice.h>
 
 #include <monsoongrade/units/bootclock.h>
 
@@ -10,7 +10,7 @@
 #include <thread>
 
 using namespace monsoongrade;
-using gateway::SharedPlacement;
+using gateway::PlacementService;
 using std::chrono::milliseconds;
 
 namespace {
@@ -30,14 +30,14 @@
 {
     Host(int number, const std::vector<std::string> &order)
         : timers(io, clock)
-        , placement(io, timers, {addressOf(number), 17342}, roster, metrics)
+        , placement(io, timers, {addressOf(number), 17342}, registry, metrics)
     {
         routing::DiscoveredEndpoint endpoint;
         endpoint.id = units::EndpointId("e");
         endpoint.pool = Pool;
         endpoint.address = "127.0.0.1:1";
         endpoint.slots = 64;
-        roster.update(endpoint);
+        registry.update(endpoint);
         placement.setOrders(order, order);
         placement.start();
     }
@@ -45,9 +45,9 @@
     units::BootClock clock;
     asio::io_context io;
     httpio::Timers timers;
-    routing::EndpointRoster roster;
+    routing::EndpointRegistry registry;
     observability::Metrics metrics;
-    SharedPlacement placement;
+    PlacementService placement;
 };
 
 void runFor(milliseconds time, const std::vector<Host *> &hosts)
@@ -70,14 +70,14 @@
     query.promptTokens = 17020;
     query.ownTokens = 3720;
     query.targetIn = std::chrono::seconds(20);
-    query.givenUpIn = std::chrono::seconds(20);
+    query.expiresIn = std::chrono::seconds(20);
     query.mayWait = true;
     return query;
 }
 
 } // namespace
 
-TEST_CASE("SharedPlacement.WaitingRequestsDoNotLoadThePlacingHost")
+TEST_CASE("PlacementService.WaitingRequestsDoNotLoadThePlacingHost")
 {
     // In a burst thousands of long reads wait at the placing host. When each asked again by itself
     // five times a second, that host had 10,000 asks a second to answer and answered new ones too
@@ -94,7 +94,7 @@
     CHECK_MESSAGE(placed < 100, "expected requests that wait, but all were placed");
 }
 
-TEST_CASE("SharedPlacement.WaitingRequestsMoveOnWhenThePlacingHostFreezes")
+TEST_CASE("PlacementService.WaitingRequestsMoveOnWhenThePlacingHostFreezes")
 {
     // Requests wait at the placing host, and it freezes. Its queue is gone for them: the asking
     // host notices within two missed checks and takes them over.
@@ -113,7 +113,7 @@
                   before, " were placed, after it ", placed);
 }
 
-TEST_CASE("SharedPlacement.RepeatedAskGetsTheSameAnswerAndALateOneLeavesNoLoad")
+TEST_CASE("PlacementService.RepeatedAskGetsTheSameAnswerAndALateOneLeavesNoLoad")
 {
     // The placing host is stopped for a moment, so that the ask is repeated and then decided by the
     // asking host. When the placing host goes on it sees both asks and the withdrawal; a choice
@@ -133,7 +133,7 @@
     CHECK(placing.placement.openRequests() == 0);
 }
 
-TEST_CASE("SharedPlacement.RestartedHostDoesNotGetAnswersOfItsLastRun")
+TEST_CASE("PlacementService.RestartedHostDoesNotGetAnswersOfItsLastRun")
 {
     // A host is killed with requests open and starts again under its address. The placing host
     // still has the tickets of the last run; with the same numbers, new requests would get old
--- a/tests/platform_standin/demo/main.cpp
+++ b/tests/platform_standin/demo/main.cpp
@@ -71,7 +71,7 @@
 };
 
 // One GET or POST on a new connection.
-class Call : public std::enable_shared_from_this<Call>, private httpio::ChannelUser
+class Call : public std::enable_shared_from_this<Call>, private httpio::ChannelListener
 {
 public:
     using Done = std::function<void(int status, const std::string &body)>;
--- a/tests/platform_standin/standinduties.cpp
+++ b/tests/platform_standin/standinduties.cpp
@@ -10,13 +10,12 @@
 StandInDuties::StandInDuties(asio::io_context &io, httpio::Timers &timers, std::uint16_t port)
     : server_(std::make_unique<httpio::Server>(
         io, timers, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), port), limits_,
-        [this](const httpio::ServerRequest &request, const std::shared_ptr<httpio::Reply> &reply) {
-            handle(request, *reply);
-        }))
+        [this](const httpio::ServerRequest &request,
+               const std::shared_ptr<httpio::ResponseWriter> &reply) { handle(request, *reply); }))
 {
 }
 
-void StandInDuties::handle(const httpio::ServerRequest &request, httpio::Reply &reply)
+void StandInDuties::handle(const httpio::ServerRequest &request, httpio::ResponseWriter &reply)
 {
     checkHolder(request);
     const json body = json::parse(*request.body, nullptr, false);
--- a/tests/platform_standin/standinduties.h
+++ b/tests/platform_standin/standinduties.h
@@ -42,7 +42,7 @@
     const std::vector<std::string> &faults() const { return faults_; }
 
 private:
-    void handle(const httpio::ServerRequest &request, httpio::Reply &reply);
+    void handle(const httpio::ServerRequest &request, httpio::ResponseWriter &reply);
     void checkHolder(const httpio::ServerRequest &request);
     void takeReport(const nlohmann::json &body);
 
--- a/tests/platform_standin/standinstore.cpp
+++ b/tests/platform_standin/standinstore.cpp
@@ -53,7 +53,7 @@
     entrance.server = std::make_unique<httpio::Server>(
         io_, timers_, address, limits_,
         [this, &entrance](const httpio::ServerRequest &request,
-                          const std::shared_ptr<httpio::Reply> &reply) {
+                          const std::shared_ptr<httpio::ResponseWriter> &reply) {
             handle(entrance, request, reply);
         });
 }
@@ -64,13 +64,13 @@
     return entrances_.back()->server->address();
 }
 
-void StandInStore::setMood(StoreMood mood)
+void StandInStore::setBehavior(StoreBehavior mood)
 {
     for (const auto &entrance : entrances_)
         entrance->mood = mood;
 }
 
-void StandInStore::setMood(StoreMood mood, const asio::ip::tcp::endpoint &address)
+void StandInStore::setBehavior(StoreBehavior mood, const asio::ip::tcp::endpoint &address)
 {
     for (const auto &entrance : entrances_) {
         if (entrance->server->address() == address)
@@ -130,28 +130,28 @@
 }
 
 void StandInStore::handle(const Entrance &entrance, const httpio::ServerRequest &request,
-                          const std::shared_ptr<httpio::Reply> &reply)
+                          const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     const bool mayBeStale = request.head.target.find("allow_stale=1") != std::string::npos;
     ++(mayBeStale ? staleLists_ : calls_);
     switch (entrance.mood) {
-    case StoreMood::Silent:
+    case StoreBehavior::Silent:
         unanswered_.push_back(reply);
         return;
-    case StoreMood::Refusing:
+    case StoreBehavior::Refusing:
         reply->respond(503, {}, "");
         return;
-    case StoreMood::LosingAnswers:
+    case StoreBehavior::DroppingResponses:
         reply->abort();
         return;
-    case StoreMood::Normal:
+    case StoreBehavior::Normal:
         serve(entrance, request, reply);
         return;
     }
 }
 
 void StandInStore::serve(const Entrance &entrance, const httpio::ServerRequest &request,
-                         const std::shared_ptr<httpio::Reply> &reply)
+                         const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     const std::string &target = request.head.target;
     const std::size_t mark = target.find('?');
@@ -179,7 +179,7 @@
 }
 
 void StandInStore::list(const Objects &all, std::uint64_t asOf, const std::string &kind,
-                        const std::string &after, httpio::Reply &reply)
+                        const std::string &after, httpio::ResponseWriter &reply)
 {
     json answer{{"items", json::array()}, {"more", false}, {"as_of", asOf}};
     const auto ofKind = all.find(kind);
@@ -197,7 +197,7 @@
 
 void StandInStore::watch(const Entrance &entrance, const std::string &kind, std::uint64_t from,
                          std::chrono::milliseconds wait,
-                         const std::shared_ptr<httpio::Reply> &reply)
+                         const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     if (from < historyBegins_ && historyBegins_ > 1) {
         reply->respond(410, JsonHeaders, "{}");
@@ -209,7 +209,7 @@
         if (waiting->isOver)
             return;
         waiting->isOver = true;
-        if (waiting->entrance->mood != StoreMood::Normal)
+        if (waiting->entrance->mood != StoreBehavior::Normal)
             return; // says nothing any more
         watches_.erase(std::remove(watches_.begin(), watches_.end(), waiting), watches_.end());
         waiting->reply->respond(200, JsonHeaders,
@@ -234,7 +234,7 @@
     const std::vector<std::shared_ptr<Watch>> all = watches_;
     for (const auto &watch : all) {
         const std::vector<Event> events = eventsSince(watch->kind, watch->from);
-        if (events.empty() || watch->entrance->mood != StoreMood::Normal)
+        if (events.empty() || watch->entrance->mood != StoreBehavior::Normal)
             continue;
         json answer{{"events", json::array()}, {"as_of", revision_}};
         for (const Event &event : events)
@@ -246,7 +246,8 @@
 }
 
 void StandInStore::write(const std::string &method, const std::string &kind,
-                         const std::string &name, const std::string &body, httpio::Reply &reply)
+                         const std::string &name, const std::string &body,
+                         httpio::ResponseWriter &reply)
 {
     if (method == "DELETE") {
         remove(kind, name);
--- a/tests/platform_standin/standinstore.h
+++ b/tests/platform_standin/standinstore.h
@@ -15,11 +15,11 @@
 namespace monsoongrade::standins {
 
 // How the stand-in store treats calls.
-enum class StoreMood {
+enum class StoreBehavior {
     Normal,
     Silent, // takes calls and never answers
     Refusing, // answers 503
-    LosingAnswers, // does what it is asked and closes the connection without an answer
+    DroppingResponses, // does what it is asked and closes the connection without an answer
 };
 
 // The platform's object store as its pages describe it, in memory: objects by kind and name, one
@@ -34,8 +34,8 @@
     // One more address of the same store, which may treat its callers differently.
     asio::ip::tcp::endpoint addAddress();
     // How calls at all addresses are treated, or at one of them.
-    void setMood(StoreMood mood);
-    void setMood(StoreMood mood, const asio::ip::tcp::endpoint &address);
+    void setBehavior(StoreBehavior mood);
+    void setBehavior(StoreBehavior mood, const asio::ip::tcp::endpoint &address);
     // From now on lists that may be stale show what the store holds now.
     void keepForStaleLists();
     // Drops the history and answers waiting watches with 410.
@@ -58,7 +58,7 @@
     struct Entrance
     {
         std::unique_ptr<httpio::Server> server;
-        StoreMood mood = StoreMood::Normal;
+        StoreBehavior mood = StoreBehavior::Normal;
     };
     struct Event
     {
@@ -71,7 +71,7 @@
     {
         std::string kind;
         std::uint64_t from = 0;
-        std::shared_ptr<httpio::Reply> reply;
+        std::shared_ptr<httpio::ResponseWriter> reply;
         const Entrance *entrance = nullptr;
         bool isOver = false;
     };
@@ -80,15 +80,16 @@
 
     void open(std::uint16_t port);
     void handle(const Entrance &entrance, const httpio::ServerRequest &request,
-                const std::shared_ptr<httpio::Reply> &reply);
+                const std::shared_ptr<httpio::ResponseWriter> &reply);
     void serve(const Entrance &entrance, const httpio::ServerRequest &request,
-               const std::shared_ptr<httpio::Reply> &reply);
+               const std::shared_ptr<httpio::ResponseWriter> &reply);
     static void list(const Objects &objects, std::uint64_t asOf, const std::string &kind,
-                     const std::string &after, httpio::Reply &reply);
+                     const std::string &after, httpio::ResponseWriter &reply);
     void watch(const Entrance &entrance, const std::string &kind, std::uint64_t from,
-               std::chrono::milliseconds wait, const std::shared_ptr<httpio::Reply> &reply);
+               std::chrono::milliseconds wait,
+               const std::shared_ptr<httpio::ResponseWriter> &reply);
     void write(const std::string &method, const std::string &kind, const std::string &name,
-               const std::string &body, httpio::Reply &reply);
+               const std::string &body, httpio::ResponseWriter &reply);
     void record(const std::string &kind, const nlohmann::json &object, bool deleted);
     std::vector<Event> eventsSince(const std::string &kind, std::uint64_t from) const;
     void answerWatches();
@@ -104,7 +105,7 @@
     std::uint64_t revision_ = 1;
     std::uint64_t historyBegins_ = 1;
     std::vector<std::shared_ptr<Watch>> watches_;
-    std::vector<std::shared_ptr<httpio::Reply>> unanswered_;
+    std::vector<std::shared_ptr<httpio::ResponseWriter>> unanswered_;
     int calls_ = 0;
     int lists_ = 0;
     int staleLists_ = 0;
--- a/tests/platform_standin/standinworker.cpp
+++ b/tests/platform_standin/standinworker.cpp
@@ -19,9 +19,10 @@
     : timers_(timers)
     , store_(store)
     , settings_(std::move(settings))
-    , server_(io, timers, {asio::ip::address_v4::loopback(), settings_.port}, limits_,
-              [this](const httpio::ServerRequest &request,
-                     const std::shared_ptr<httpio::Reply> &reply) { handle(request, reply); })
+    , server_(
+          io, timers, {asio::ip::address_v4::loopback(), settings_.port}, limits_,
+          [this](const httpio::ServerRequest &request,
+                 const std::shared_ptr<httpio::ResponseWriter> &reply) { handle(request, reply); })
 {
 }
 
@@ -51,7 +52,7 @@
 }
 
 void StandInWorker::handle(const httpio::ServerRequest &request,
-                           const std::shared_ptr<httpio::Reply> &reply)
+                           const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     const httpio::Headers &headers = request.head.headers;
     const std::string id = valueOf(headers, "Attempt-Id");
@@ -72,7 +73,7 @@
     runs_.push_back({id, valueOf(headers, "Tenant"), request.head.target, *request.body,
                      valueOf(headers, "Last-Event-Id"), headers});
     answer.emplace_back("Response-Signature", settings_.id + "." + id);
-    reply->onClientGone([this] {
+    reply->onClientDisconnected([this] {
         ++clientsGone_;
         --running_;
     });
@@ -88,7 +89,7 @@
     });
 }
 
-void StandInWorker::stream(const std::shared_ptr<httpio::Reply> &reply,
+void StandInWorker::stream(const std::shared_ptr<httpio::ResponseWriter> &reply,
                            const httpio::Headers &headers, int next)
 {
     if (!headers.empty()) {
--- a/tests/platform_standin/standinworker.h
+++ b/tests/platform_standin/standinworker.h
@@ -56,9 +56,10 @@
     const Settings &settings() const { return settings_; }
 
 private:
-    void handle(const httpio::ServerRequest &request, const std::shared_ptr<httpio::Reply> &reply);
-    void stream(const std::shared_ptr<httpio::Reply> &reply, const httpio::Headers &headers,
-                int next);
+    void handle(const httpio::ServerRequest &request,
+                const std::shared_ptr<httpio::ResponseWriter> &reply);
+    void stream(const std::shared_ptr<httpio::ResponseWriter> &reply,
+                const httpio::Headers &headers, int next);
 
     httpio::Timers &timers_;
     StandInStore &store_;
--- a/tests/routing/boundsandleases_test.cpp
+++ b/tests/routing/boundsandleases_test.cpp
@@ -17,9 +17,9 @@
 
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 
-PeerNews newsOf(const std::string &ip, PeerState state, units::Duration age = {})
+PeerUpdate newsOf(const std::string &ip, PeerState state, units::Duration age = {})
 {
-    PeerNews news;
+    PeerUpdate news;
     news.ip = ip;
     news.state = state;
     news.age = age;
@@ -32,8 +32,8 @@
 {
     FreshnessLease lease(seconds(5), milliseconds(1300));
     CHECK_FALSE(lease.isFresh(Start));
-    lease.prove(Start);
-    lease.prove(Start - seconds(2)); // a slower call that was sent earlier
+    lease.renew(Start);
+    lease.renew(Start - seconds(2)); // a slower call that was sent earlier
     CHECK(lease.isFresh(Start + milliseconds(3600)));
     CHECK_FALSE(lease.isFresh(Start + milliseconds(3700)));
 }
@@ -42,7 +42,7 @@
 {
     // Six hosts see the same failure and each repeats as much as it may. The sum must stay below
     // the bound for all requests of the window.
-    const RetryBound bound{0.2, 52, seconds(10)};
+    const RetryLimit bound{0.2, 52, seconds(10)};
     int repeats = 0;
     for (int host = 0; host < 6; ++host) {
         RetryAllowance allowance;
@@ -57,7 +57,7 @@
 
 TEST_CASE("RetryAllowance.WindowSlides")
 {
-    const RetryBound bound{0, 10, seconds(10)};
+    const RetryLimit bound{0, 10, seconds(10)};
     RetryAllowance allowance;
     int spent = 0;
     while (allowance.trySpend(bound, 1, Start))
@@ -116,20 +116,20 @@
         health.onLatency(8, Start);
     }
     CHECK(health.accepts(Start));
-    CHECK(health.failureShare(Start) > 0.9);
+    CHECK(health.failureRate(Start) > 0.9);
     CHECK(health.slowness(Start) > 7);
-    CHECK(health.failureShare(Start + seconds(12)) < 0.1);
+    CHECK(health.failureRate(Start + seconds(12)) < 0.1);
     CHECK(health.slowness(Start + seconds(12)) < 1.6);
 }
 
 TEST_CASE("PeerTable.HostIsLostAfterSixMissedRoundsAndFoundAgain")
 {
     PeerTable table;
-    table.hear(newsOf("10.0.0.2", PeerState::Serving), Start);
+    table.receive(newsOf("10.0.0.2", PeerState::Serving), Start);
     CHECK(table.live(Start + milliseconds(1499)).size() == 1);
     CHECK(table.live(Start + milliseconds(1500)).empty());
-    CHECK(table.addressees(Start + seconds(60)).size() == 1);
-    table.hear(newsOf("10.0.0.2", PeerState::Leaving), Start + seconds(60));
+    CHECK(table.recipients(Start + seconds(60)).size() == 1);
+    table.receive(newsOf("10.0.0.2", PeerState::Leaving), Start + seconds(60));
     CHECK(table.live(Start + seconds(60)).at(0).state == PeerState::Leaving);
 }
 
@@ -137,8 +137,8 @@
 {
     // A host says that it leaves; a third one still passes on that it served a moment ago.
     PeerTable table;
-    table.hear(newsOf("10.0.0.2", PeerState::Leaving), Start);
-    table.hear(newsOf("10.0.0.2", PeerState::Serving, milliseconds(250)), Start);
+    table.receive(newsOf("10.0.0.2", PeerState::Leaving), Start);
+    table.receive(newsOf("10.0.0.2", PeerState::Serving, milliseconds(250)), Start);
     CHECK(table.live(Start).at(0).state == PeerState::Leaving);
 }
 
@@ -147,5 +147,5 @@
     PeerTable table;
     table.addSeed("10.0.0.9");
     CHECK(table.live(Start).empty());
-    CHECK(table.addressees(Start) == std::vector<std::string>{"10.0.0.9"});
+    CHECK(table.recipients(Start) == std::vector<std::string>{"10.0.0.9"});
 }
--- a/tests/routing/callpace_test.cpp
+++ b/tests/routing/callpacer_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/callpace.h>
+#include <monsoongrade/routing/callpacer.h>
 
 #include <doctest/doctest.h>
 
@@ -6,11 +6,11 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("CallPace.FirstCallsGoAtOnceAndTheRestKeepToTheInterval")
+TEST_CASE("CallPacer.FirstCallsGoAtOnceAndTheRestKeepToTheInterval")
 {
     // A hundred endpoints register one after the other: the first changes are read at once, then
     // several come with each call.
-    routing::CallPace pace(3, milliseconds(250));
+    routing::CallPacer pace(3, milliseconds(250));
     units::TimePoint now{seconds(10)};
     int calls = 0;
     const units::TimePoint end = now + seconds(10);
@@ -24,9 +24,9 @@
     CHECK(calls <= 44);
 }
 
-TEST_CASE("CallPace.CallsAfterAQuietTimeGoAtOnceAgain")
+TEST_CASE("CallPacer.CallsAfterAQuietTimeGoAtOnceAgain")
 {
-    routing::CallPace pace(3, milliseconds(250));
+    routing::CallPacer pace(3, milliseconds(250));
     units::TimePoint now{seconds(10)};
     for (int i = 0; i < 10; ++i)
         now += pace.delay(now);
--- a/tests/routing/crashledger_test.cpp
+++ b/tests/routing/crashtracker_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/crashledger.h>
+#include <monsoongrade/routing/crashtracker.h>
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -22,7 +22,7 @@
     return {units::WorkspaceName("w1"), RequestDigest(number)};
 }
 
-EndpointStart endpointNumber(int number)
+EndpointInstance endpointNumber(int number)
 {
     return {units::EndpointId("e" + std::to_string(number)), Incarnation(1)};
 }
@@ -43,30 +43,30 @@
     }
     bool isQuarantined(std::size_t host, const RequestIdentity &request = Fatal) const
     {
-        return ledgers[host].quarantineLeft(request, now).has_value();
+        return ledgers[host].quarantineRemaining(request, now).has_value();
     }
     // Each host tells all others once.
     void gossip()
     {
-        for (CrashLedger &from : ledgers) {
-            const std::vector<CrashNews> news = from.takeNews(DatagramItems, now);
-            for (CrashLedger &to : ledgers) {
-                for (const CrashNews &each : news) {
+        for (CrashTracker &from : ledgers) {
+            const std::vector<CrashUpdate> news = from.takeUpdates(DatagramItems, now);
+            for (CrashTracker &to : ledgers) {
+                for (const CrashUpdate &each : news) {
                     if (&to != &from)
-                        to.hear(each, now);
+                        to.receive(each, now);
                 }
             }
         }
         now += milliseconds(250);
     }
 
-    std::vector<CrashLedger> ledgers;
+    std::vector<CrashTracker> ledgers;
     units::TimePoint now{hours(1)};
 };
 
 } // namespace
 
-TEST_CASE("CrashLedger.ThirdCrashedEndpointPutsARequestInQuarantine")
+TEST_CASE("CrashTracker.ThirdCrashedEndpointPutsARequestInQuarantine")
 {
     Hosts hosts(1);
     hosts.crash(0, 1);
@@ -79,7 +79,7 @@
 }
 
 // Guards against counting one crash several times, when copies of a request ran there.
-TEST_CASE("CrashLedger.CrashOfOneEndpointCountsOnce")
+TEST_CASE("CrashTracker.CrashOfOneEndpointCountsOnce")
 {
     Hosts hosts(2);
     for (int copy = 0; copy < 5; ++copy)
@@ -91,17 +91,17 @@
     CHECK_FALSE(hosts.isQuarantined(1));
 }
 
-TEST_CASE("CrashLedger.RestartedEndpointCountsAgain")
+TEST_CASE("CrashTracker.RestartedEndpointCountsAgain")
 {
-    CrashLedger ledger;
+    CrashTracker ledger;
     const units::TimePoint now{hours(1)};
     for (int start = 1; start <= 3; ++start)
         ledger.onCrash(Fatal, {units::EndpointId("e1"), Incarnation(start)}, now);
-    CHECK(ledger.quarantineLeft(Fatal, now).has_value());
+    CHECK(ledger.quarantineRemaining(Fatal, now).has_value());
 }
 
 // Guards against hosts that each see too few crashes to act on.
-TEST_CASE("CrashLedger.CrashesThatDifferentHostsSawCountTogether")
+TEST_CASE("CrashTracker.CrashesThatDifferentHostsSawCountTogether")
 {
     Hosts hosts(8);
     for (int host = 0; host < 3; ++host)
@@ -113,7 +113,7 @@
 }
 
 // Guards against a quarantine of requests that only ran beside one that crashes endpoints.
-TEST_CASE("CrashLedger.CompletedRequestIsClearedOnAllHosts")
+TEST_CASE("CrashTracker.CompletedRequestIsClearedOnAllHosts")
 {
     Hosts hosts(3);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
@@ -134,7 +134,7 @@
 
 // Guards against a quarantine of a request that many callers send, when several endpoints are lost
 // at once; no attempt could clear it there.
-TEST_CASE("CrashLedger.RequestThatWasAnsweredShortlyBeforeIsNotQuarantined")
+TEST_CASE("CrashTracker.RequestThatWasAnsweredShortlyBeforeIsNotQuarantined")
 {
     Hosts hosts(3);
     hosts.ledgers[1].onCompleted(Fatal, hosts.now);
@@ -154,7 +154,7 @@
 }
 
 // Guards against a quarantine by connections that broke for another reason, as in a network fault.
-TEST_CASE("CrashLedger.EndpointThatAnswersLaterHadNotCrashed")
+TEST_CASE("CrashTracker.EndpointThatAnswersLaterHadNotCrashed")
 {
     Hosts hosts(3);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
@@ -176,7 +176,7 @@
 }
 
 // Guards against a restarted endpoint that clears the request which crashed the process before it.
-TEST_CASE("CrashLedger.AnswerLongAfterTheBreakProvesNothing")
+TEST_CASE("CrashTracker.AnswerLongAfterTheBreakProvesNothing")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
@@ -187,53 +187,53 @@
     CHECK(hosts.isQuarantined(0));
 }
 
-TEST_CASE("CrashLedger.QuarantineEndsAndDoublesWithTheNextCrash")
+TEST_CASE("CrashTracker.QuarantineEndsAndDoublesWithTheNextCrash")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
-    const auto first = hosts.ledgers[0].quarantineLeft(Fatal, hosts.now);
+    const auto first = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(first);
     hosts.now += *first;
-    hosts.ledgers[0].takeNews(DatagramItems, hosts.now);
+    hosts.ledgers[0].takeUpdates(DatagramItems, hosts.now);
     CHECK_FALSE(hosts.isQuarantined(0));
     hosts.now += minutes(1);
     hosts.crash(0, 4);
-    const auto second = hosts.ledgers[0].quarantineLeft(Fatal, hosts.now);
+    const auto second = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(second);
     CHECK(*second == 2 * *first);
 }
 
-TEST_CASE("CrashLedger.LongestQuarantineIsBounded")
+TEST_CASE("CrashTracker.LongestQuarantineIsBounded")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 1000; ++endpoint)
         hosts.crash(0, endpoint);
-    const auto left = hosts.ledgers[0].quarantineLeft(Fatal, hosts.now);
+    const auto left = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(left);
     CHECK(*left <= hours(24));
 }
 
 // Guards against a host that returns after a cut, or restarts, and sends the request on.
-TEST_CASE("CrashLedger.QuarantineIsToldAgainLongAfterwards")
+TEST_CASE("CrashTracker.QuarantineIsToldAgainLongAfterwards")
 {
     Hosts hosts(2);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
     for (int round = 0; round < 100; ++round)
         hosts.gossip();
-    hosts.ledgers[1] = CrashLedger();
+    hosts.ledgers[1] = CrashTracker();
     hosts.gossip();
     CHECK(hosts.isQuarantined(1));
 
-    CrashLedger started;
-    for (const CrashNews &news : hosts.ledgers[0].quarantineNews(DatagramItems, hosts.now))
-        started.hear(news, hosts.now);
-    CHECK(started.quarantineLeft(Fatal, hosts.now).has_value());
+    CrashTracker started;
+    for (const CrashUpdate &news : hosts.ledgers[0].quarantineNews(DatagramItems, hosts.now))
+        started.receive(news, hosts.now);
+    CHECK(started.quarantineRemaining(Fatal, hosts.now).has_value());
 }
 
 // Guards against quarantines that reach other hosts late because much else is to be told.
-TEST_CASE("CrashLedger.QuarantineReachesAllHostsWithinThreeSecondsOfManyCrashes")
+TEST_CASE("CrashTracker.QuarantineReachesAllHostsWithinThreeSecondsOfManyCrashes")
 {
     Hosts hosts(3);
     for (std::uint64_t other = 2; other < 150; ++other)
@@ -247,7 +247,7 @@
 }
 
 // Guards against memory that grows with the requests seen under crashes.
-TEST_CASE("CrashLedger.RecordsAreBoundedAndQuarantinedOnesStayLongest")
+TEST_CASE("CrashTracker.RecordsAreBoundedAndQuarantinedOnesStayLongest")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
@@ -258,43 +258,43 @@
     CHECK(hosts.isQuarantined(0));
 }
 
-TEST_CASE("CrashLedger.RecordsAreForgotten")
+TEST_CASE("CrashTracker.RecordsAreForgotten")
 {
     Hosts hosts(1);
     for (std::uint64_t other = 2; other < 100; ++other)
         hosts.crash(0, 0, requestNumber(other));
     hosts.now += minutes(11);
-    hosts.ledgers[0].takeNews(DatagramItems, hosts.now);
+    hosts.ledgers[0].takeUpdates(DatagramItems, hosts.now);
     CHECK(hosts.ledgers[0].size() == 0);
 }
 
 // Guards against hosts that keep different opinions after lost, repeated and reordered news.
-TEST_CASE("CrashLedger.NewsInAnyOrderGivesTheSameQuarantine")
+TEST_CASE("CrashTracker.NewsInAnyOrderGivesTheSameQuarantine")
 {
     CHECK(rc::check([] {
         const units::TimePoint start{hours(1)};
-        std::vector<std::pair<CrashNews, units::TimePoint>> events;
+        std::vector<std::pair<CrashUpdate, units::TimePoint>> events;
         const auto count = *rc::gen::inRange(1, 9);
         for (int i = 0; i < count; ++i) {
-            CrashNews news;
+            CrashUpdate news;
             news.request = requestNumber(std::uint64_t(*rc::gen::inRange(1, 3)));
-            news.kind = *rc::gen::inRange(0, 4) == 0 ? CrashNews::Kind::Completed
-                                                     : CrashNews::Kind::Crashed;
+            news.kind = *rc::gen::inRange(0, 4) == 0 ? CrashUpdate::Kind::Completed
+                                                     : CrashUpdate::Kind::Crashed;
             news.endpoint = endpointNumber(i);
             events.emplace_back(news, start + milliseconds(i));
         }
         const units::TimePoint now = start + seconds(1);
         // A host keeps a completion only if it knows of a crash, so each knows of one at first.
-        const auto tell = [&](CrashLedger &ledger, const auto &ordered) {
+        const auto tell = [&](CrashTracker &ledger, const auto &ordered) {
             for (std::uint64_t number = 1; number < 3; ++number)
                 ledger.onCrash(requestNumber(number), endpointNumber(-1), start - milliseconds(1));
             for (const auto &[news, at] : ordered) {
-                CrashNews told = news;
+                CrashUpdate told = news;
                 told.age = now - at;
-                ledger.hear(told, now);
+                ledger.receive(told, now);
             }
         };
-        CrashLedger inOrder;
+        CrashTracker inOrder;
         tell(inOrder, events);
         const auto shuffled = *rc::gen::exec([events] {
             auto mixed = events;
@@ -304,10 +304,10 @@
                          events.begin() + *rc::gen::inRange<int>(0, int(events.size())));
             return mixed;
         });
-        CrashLedger mixed;
+        CrashTracker mixed;
         tell(mixed, shuffled);
         for (std::uint64_t number = 1; number < 3; ++number)
-            RC_ASSERT(inOrder.quarantineLeft(requestNumber(number), now)
-                      == mixed.quarantineLeft(requestNumber(number), now));
+            RC_ASSERT(inOrder.quarantineRemaining(requestNumber(number), now)
+                      == mixed.quarantineRemaining(requestNumber(number), now));
     }));
 }
--- a/tests/routing/crashweather_test.cpp
+++ b/tests/routing/crashweather_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/crashledger.h>
+#include <monsoongrade/routing/crashtracker.h>
 
 #include <doctest/doctest.h>
 
@@ -100,7 +100,7 @@
     {
         return now_.time_since_epoch() % interval == units::Duration::zero();
     }
-    EndpointStart startOf(std::size_t endpoint) const
+    EndpointInstance startOf(std::size_t endpoint) const
     {
         return {units::EndpointId(std::to_string(endpoint)), Incarnation(starts_[endpoint])};
     }
@@ -108,7 +108,7 @@
     void send(Run run)
     {
         run.host = random_() % Hosts;
-        if (ledgers_[run.host].quarantineLeft(run.request, now_)) {
+        if (ledgers_[run.host].quarantineRemaining(run.request, now_)) {
             counts_.refused += isFatal(run.request) ? 0 : 1;
             return;
         }
@@ -173,11 +173,11 @@
     }
     void gossip()
     {
-        for (CrashLedger &from : ledgers_) {
-            for (const CrashNews &news : from.takeNews(DatagramItems, now_)) {
-                for (CrashLedger &to : ledgers_) {
+        for (CrashTracker &from : ledgers_) {
+            for (const CrashUpdate &news : from.takeUpdates(DatagramItems, now_)) {
+                for (CrashTracker &to : ledgers_) {
                     if (&to != &from)
-                        to.hear(news, now_);
+                        to.receive(news, now_);
                 }
             }
         }
@@ -185,7 +185,7 @@
 
     std::mt19937 random_;
     units::TimePoint now_{std::chrono::hours(1)};
-    std::vector<CrashLedger> ledgers_;
+    std::vector<CrashTracker> ledgers_;
     std::vector<units::TimePoint> upFrom_;
     std::vector<std::int64_t> starts_;
     std::vector<Run> runs_;
--- a/tests/routing/deskworld.h
+++ b/tests/routing/deskworld.h
@@ -1,14 +1,14 @@
 #ifndef MONSOONGRADE_TESTS_ROUTING_DESKWORLD_H
 #define MONSOONGRADE_TESTS_ROUTING_DESKWORLD_H
 
-#include <monsoongrade/routing/placementdesk.h>
+#include <monsoongrade/routing/requestplacer.h>
 
 namespace monsoongrade::routing {
 
 inline constexpr units::TimePoint DeskStart = units::TimePoint(std::chrono::hours(1));
 inline const units::PoolName DeskPool("p");
 
-// A PlacementDesk with some endpoints of one pool, in every second failure domain.
+// A RequestPlacer with some endpoints of one pool, in every second failure domain.
 struct DeskWorld
 {
     explicit DeskWorld(int endpoints, int slots = 128)
@@ -20,18 +20,18 @@
             endpoint.address = "10.0.0.1:80";
             endpoint.failureDomain = units::FailureDomain(i % 2 == 0 ? "even" : "odd");
             endpoint.slots = slots;
-            roster.update(endpoint);
+            registry.update(endpoint);
         }
     }
 
     PlacementChoice place(const PlacementQuery &query)
     {
-        return desk.place({"host", ++last}, query, roster.available(DeskPool), now);
+        return desk.place({"host", ++last}, query, registry.available(DeskPool), now);
     }
     PlacementTicket lastTicket() const { return {"host", last}; }
 
-    EndpointRoster roster;
-    PlacementDesk desk;
+    EndpointRegistry registry;
+    RequestPlacer desk;
     units::TimePoint now = DeskStart;
     std::uint64_t last = 0;
 };
@@ -45,7 +45,7 @@
     query.promptTokens = shared + own;
     query.ownTokens = own;
     query.targetIn = std::chrono::seconds(1);
-    query.givenUpIn = std::chrono::seconds(8);
+    query.expiresIn = std::chrono::seconds(8);
     return query;
 }
 
--- a/tests/routing/endpointlimits_test.cpp
+++ b/tests/routing/endpointlimits_test.cpp
@@ -1,5 +1,5 @@
-#include <monsoongrade/routing/endpointpace.h>
-#include <monsoongrade/routing/limitboard.h>
+#include <monsoongrade/routing/endpointratelimiter.h>
+#include <monsoongrade/routing/ratelimittable.h>
 
 #include <doctest/doctest.h>
 
@@ -17,7 +17,7 @@
 
 constexpr auto Span = seconds(4);
 constexpr std::size_t DatagramItems = 10;
-const EndpointStart Endpoint{units::EndpointId("e1"), Incarnation(7)};
+const EndpointInstance Endpoint{units::EndpointId("e1"), Incarnation(7)};
 const units::TimePoint Start{hours(1)};
 
 // What an endpoint that named a limit may get in a span.
@@ -28,12 +28,12 @@
 
 // Places as much as the hosts' paces allow, one look each millisecond, and returns the largest
 // number of placements in any span.
-int mostInSpan(std::vector<EndpointPace> &hosts, double share, seconds time)
+int mostInSpan(std::vector<EndpointRateLimiter> &hosts, double share, seconds time)
 {
     std::vector<units::TimePoint> placed;
     int most = 0;
     for (units::TimePoint now = Start; now < Start + time; now += milliseconds(1)) {
-        for (EndpointPace &host : hosts) {
+        for (EndpointRateLimiter &host : hosts) {
             if (!host.allows(share, now))
                 continue;
             host.onPlaced(share, now);
@@ -48,19 +48,19 @@
 
 } // namespace
 
-TEST_CASE("EndpointPace.WithoutALimitEverythingIsAllowed")
+TEST_CASE("EndpointRateLimiter.WithoutALimitEverythingIsAllowed")
 {
-    EndpointPace pace;
+    EndpointRateLimiter pace;
     for (int i = 0; i < 1000; ++i) {
         CHECK(pace.allows(1, Start));
         pace.onPlaced(1, Start);
     }
 }
 
-TEST_CASE("EndpointPace.LimitIsUsedAndNotExceeded")
+TEST_CASE("EndpointRateLimiter.LimitIsUsedAndNotExceeded")
 {
     for (const double limit : {0.5, 1.0, 1.6, 8.0, 60.0}) {
-        std::vector<EndpointPace> hosts(1);
+        std::vector<EndpointRateLimiter> hosts(1);
         hosts[0].setLimit(limit, 0.5, Start);
         const int most = mostInSpan(hosts, 1, seconds(30));
         CHECK(most <= maxArrivals(limit));
@@ -69,11 +69,11 @@
 }
 
 // Guards against hosts that each use the whole limit, or all send at the same moment.
-TEST_CASE("EndpointPace.HostsThatPlaceForThemselvesStayWithinTheLimitTogether")
+TEST_CASE("EndpointRateLimiter.HostsThatPlaceForThemselvesStayWithinTheLimitTogether")
 {
     for (const std::size_t count : {2, 6, 8, 30, 100}) {
         for (const double limit : {0.5, 1.0, 1.6, 5.0, 20.0}) {
-            std::vector<EndpointPace> hosts(count);
+            std::vector<EndpointRateLimiter> hosts(count);
             for (std::size_t host = 0; host < count; ++host)
                 hosts[host].setLimit(limit, double(host) / double(count), Start);
             const int most = mostInSpan(hosts, 1.0 / double(count), seconds(20));
@@ -84,11 +84,11 @@
 }
 
 // Guards against unused parts that add up: hosts that had nothing to place and then all do at once.
-TEST_CASE("EndpointPace.HostsThatWereIdleDoNotSendAllAtOnce")
+TEST_CASE("EndpointRateLimiter.HostsThatWereIdleDoNotSendAllAtOnce")
 {
     for (const std::size_t count : {6, 8, 30, 100}) {
         for (const double limit : {0.5, 1.0, 1.9, 5.0}) {
-            std::vector<EndpointPace> hosts(count);
+            std::vector<EndpointRateLimiter> hosts(count);
             for (std::size_t host = 0; host < count; ++host)
                 hosts[host].setLimit(limit, double(host) / double(count), Start - minutes(1));
             const int most = mostInSpan(hosts, 1.0 / double(count), seconds(10));
@@ -98,15 +98,15 @@
 }
 
 // Guards against a limit exceeded while a placing host is replaced and the others place alone.
-TEST_CASE("EndpointPace.LossOfThePlacingHostKeepsTheLimit")
+TEST_CASE("EndpointRateLimiter.LossOfThePlacingHostKeepsTheLimit")
 {
     const double limit = 1.9;
     constexpr std::size_t Count = 12;
-    std::vector<EndpointPace> hosts(Count);
+    std::vector<EndpointRateLimiter> hosts(Count);
     for (std::size_t host = 0; host < Count; ++host)
         hosts[host].setLimit(limit, double(host) / Count, Start - minutes(1));
     std::vector<units::TimePoint> placed;
-    const auto tryPlace = [&](EndpointPace &host, double share, units::TimePoint now) {
+    const auto tryPlace = [&](EndpointRateLimiter &host, double share, units::TimePoint now) {
         if (!host.allows(share, now))
             return;
         host.onPlaced(share, now);
@@ -130,40 +130,40 @@
 }
 
 // Guards against an endpoint that named 0 never being asked again.
-TEST_CASE("EndpointPace.LimitOfZeroStillLetsATrialThrough")
+TEST_CASE("EndpointRateLimiter.LimitOfZeroStillLetsATrialThrough")
 {
-    std::vector<EndpointPace> hosts(1);
+    std::vector<EndpointRateLimiter> hosts(1);
     hosts[0].setLimit(0, 0.5, Start);
     CHECK(mostInSpan(hosts, 1, seconds(30)) == 1);
     CHECK(hosts[0].allows(1, Start + minutes(1)));
 }
 
-TEST_CASE("LimitBoard.LaterAnswerDecidesWhateverOrderNewsComesIn")
+TEST_CASE("RateLimitTable.LaterAnswerDecidesWhateverOrderNewsComesIn")
 {
-    LimitBoard board;
-    CHECK_FALSE(board.hear(Endpoint, std::nullopt, Start));
-    CHECK(board.hear(Endpoint, 2.0, Start));
-    CHECK(board.hear(Endpoint, std::nullopt, Start + seconds(1)));
-    CHECK_FALSE(board.hear(Endpoint, 2.0, Start));
-    const auto news = board.takeNews(DatagramItems, Start + seconds(1));
+    RateLimitTable board;
+    CHECK_FALSE(board.update(Endpoint, std::nullopt, Start));
+    CHECK(board.update(Endpoint, 2.0, Start));
+    CHECK(board.update(Endpoint, std::nullopt, Start + seconds(1)));
+    CHECK_FALSE(board.update(Endpoint, 2.0, Start));
+    const auto news = board.takeUpdates(DatagramItems, Start + seconds(1));
     REQUIRE(news.size() == 1);
     CHECK_FALSE(news[0].limit.has_value());
 }
 
 // Guards against a host that was away and never learns of a limit in force.
-TEST_CASE("LimitBoard.LimitInForceIsToldAgainAndALiftedOneForgotten")
+TEST_CASE("RateLimitTable.LimitInForceIsToldAgainAndALiftedOneForgotten")
 {
-    LimitBoard board;
-    board.hear(Endpoint, 2.0, Start);
+    RateLimitTable board;
+    board.update(Endpoint, 2.0, Start);
     units::TimePoint now = Start;
     for (; now < Start + seconds(20); now += milliseconds(250))
-        board.takeNews(DatagramItems, now);
+        board.takeUpdates(DatagramItems, now);
     std::size_t told = 0;
     for (; now < Start + seconds(23); now += milliseconds(250))
-        told += board.takeNews(DatagramItems, now).size();
+        told += board.takeUpdates(DatagramItems, now).size();
     CHECK(told >= 1);
-    board.hear(Endpoint, std::nullopt, now);
+    board.update(Endpoint, std::nullopt, now);
     for (; now < Start + seconds(60); now += milliseconds(250))
-        board.takeNews(DatagramItems, now);
+        board.takeUpdates(DatagramItems, now);
     CHECK(board.size() == 0);
 }
--- a/tests/routing/failuredecision_test.cpp
+++ b/tests/routing/failuredecision_test.cpp
@@ -12,8 +12,8 @@
     AttemptFailure failure;
     failure.sends = 1;
     failure.maxAttempts = 2;
-    failure.endpointLeft = true;
-    failure.budgetLeft = true;
+    failure.hasAlternativeEndpoint = true;
+    failure.hasRetryBudget = true;
     return failure;
 }
 
@@ -29,19 +29,19 @@
         failure.sends = *rc::gen::inRange(0, 4);
         failure.maxAttempts = *rc::gen::inRange(1, 4);
         failure.timedOut = *rc::gen::arbitrary<bool>();
-        failure.endpointLeft = *rc::gen::arbitrary<bool>();
-        failure.budgetLeft = *rc::gen::arbitrary<bool>();
+        failure.hasAlternativeEndpoint = *rc::gen::arbitrary<bool>();
+        failure.hasRetryBudget = *rc::gen::arbitrary<bool>();
         const NextStep step = decideAfterFailure(failure);
         if (step == NextStep::SendAgain) {
             RC_ASSERT(!failure.mayHaveRun || failure.mayRunTwice);
             RC_ASSERT(failure.sends < failure.maxAttempts);
-            RC_ASSERT(failure.endpointLeft && !failure.timedOut);
-            RC_ASSERT(failure.budgetLeft || failure.sends == 0);
+            RC_ASSERT(failure.hasAlternativeEndpoint && !failure.timedOut);
+            RC_ASSERT(failure.hasRetryBudget || failure.sends == 0);
         }
         if (step == NextStep::RefuseNotRun)
             RC_ASSERT(!failure.mayHaveRun && !failure.responseBegun);
         if (failure.responseBegun)
-            RC_ASSERT(step == NextStep::SendAgain || step == NextStep::BreakOff);
+            RC_ASSERT(step == NextStep::SendAgain || step == NextStep::AbortResponse);
     });
     CHECK(holds);
 }
@@ -58,7 +58,7 @@
     CHECK(decideAfterFailure(failure) == NextStep::RefuseNotRun);
     failure.mayHaveRun = true;
     failure.mayRunTwice = true;
-    CHECK(decideAfterFailure(failure) == NextStep::AnswerUnknown);
+    CHECK(decideAfterFailure(failure) == NextStep::RespondOutcomeUnknown);
     failure.timedOut = true;
-    CHECK(decideAfterFailure(failure) == NextStep::AnswerTimeout);
+    CHECK(decideAfterFailure(failure) == NextStep::RespondTimeout);
 }
--- a/tests/routing/fleetdivision_test.cpp
+++ b/tests/routing/fleetdivision_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/endpointroster.h>
+#include <monsoongrade/routing/endpointregistry.h>
 #include <monsoongrade/routing/fleetdivision.h>
 
 #include <doctest/doctest.h>
@@ -19,17 +19,17 @@
         + std::to_string(number % 250);
 }
 
-EndpointRoster rosterOf(int endpoints)
+EndpointRegistry rosterOf(int endpoints)
 {
-    EndpointRoster roster;
+    EndpointRegistry registry;
     for (int i = 0; i < endpoints; ++i) {
         DiscoveredEndpoint endpoint;
         endpoint.id = units::EndpointId("e" + std::to_string(i));
         endpoint.pool = Large;
         endpoint.address = "10.0.0.1:80";
-        roster.update(endpoint);
+        registry.update(endpoint);
     }
-    return roster;
+    return registry;
 }
 
 } // namespace
@@ -38,12 +38,12 @@
 TEST_CASE("FleetDivision.CandidatesForOneRequestDoNotGrowWithTheFleet")
 {
     for (const int hosts : {60, 300, 1000, 2000}) {
-        EndpointRoster roster = rosterOf(10 * hosts);
-        const FleetDivision division = divideFleet(roster.sizes(), {});
+        EndpointRegistry registry = rosterOf(10 * hosts);
+        const FleetDivision division = divideFleet(registry.sizes(), {});
         for (int host = 0; host < hosts; host += 50) {
-            roster.divide(division, division.cellOf(hostIp(host)));
-            CHECK(roster.available(Large).size() > 250);
-            CHECK(roster.available(Large).size() < 700);
+            registry.setDivision(division, division.cellOf(hostIp(host)));
+            CHECK(registry.available(Large).size() > 250);
+            CHECK(registry.available(Large).size() < 700);
         }
     }
 }
--- a/tests/routing/gossiprounds_test.cpp
+++ b/tests/routing/gossipplanner_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/gossiprounds.h>
+#include <monsoongrade/routing/gossipplanner.h>
 #include <monsoongrade/routing/storereaders.h>
 
 #include <doctest/doctest.h>
@@ -28,9 +28,9 @@
         , rounds(ip, number)
     {
     }
-    PeerNews own(units::TimePoint now) const
+    PeerUpdate own(units::TimePoint now) const
     {
-        PeerNews news;
+        PeerUpdate news;
         news.ip = ip;
         news.failureDomain = units::FailureDomain(domain);
         news.state = state;
@@ -41,7 +41,7 @@
     std::string ip;
     std::string domain;
     PeerTable table;
-    GossipRounds rounds;
+    GossipPlanner rounds;
     PeerState state = PeerState::Serving;
     bool isRunning = true;
     units::TimePoint startedAt;
@@ -77,16 +77,16 @@
     }
     void round(GossipingHost &host)
     {
-        const GossipRounds::Round round = host.rounds.next(host.table, now);
-        for (const std::string &ip : round.toProbe) {
+        const GossipPlanner::Round round = host.rounds.next(host.table, now);
+        for (const std::string &ip : round.probeTargets) {
             if (tell(host, ip, {}))
                 tell(*byIp.at(ip), host.ip, {});
         }
-        for (const std::string &ip : round.addressees)
+        for (const std::string &ip : round.recipients)
             tell(host, ip, round.news);
     }
     // Whether the datagram arrives.
-    bool tell(GossipingHost &from, const std::string &to, const std::vector<PeerNews> &news)
+    bool tell(GossipingHost &from, const std::string &to, const std::vector<PeerUpdate> &news)
     {
         ++datagrams;
         described += news.size();
@@ -97,17 +97,17 @@
         GossipingHost &host = *found->second;
         if (!host.table.isLive(from.ip, now))
             welcomes.emplace_back(&host, &from);
-        host.table.hear(from.own(now), now);
+        host.table.receive(from.own(now), now);
         host.rounds.onHeartbeat(from.ip, now);
-        for (const PeerNews &each : news) {
+        for (const PeerUpdate &each : news) {
             if (each.ip != host.ip)
-                host.table.hear(each, now);
+                host.table.receive(each, now);
         }
         for (; !welcomes.empty(); welcomes.clear()) {
             const auto [older, newcomer] = welcomes.back();
-            for (const PeerNews &each : older->rounds.newsForNewcomer(older->table, now)) {
+            for (const PeerUpdate &each : older->rounds.newsForJoiningHost(older->table, now)) {
                 if (each.ip != newcomer->ip)
-                    newcomer->table.hear(each, now);
+                    newcomer->table.receive(each, now);
             }
         }
         return true;
@@ -137,7 +137,7 @@
     {
         std::size_t unaware = 0;
         for (const auto &host : hosts) {
-            for (const PeerNews &peer : host->table.live(now))
+            for (const PeerUpdate &peer : host->table.live(now))
                 unaware += peer.ip == changed.ip && peer.state != changed.state ? 1 : 0;
         }
         return unaware;
@@ -171,7 +171,7 @@
 } // namespace
 
 // Guards against running hosts that others take for lost because news through others are old.
-TEST_CASE("GossipRounds.NoRunningHostIsTakenForLostInALargeFleet")
+TEST_CASE("GossipPlanner.NoRunningHostIsTakenForLostInALargeFleet")
 {
     GossipingFleet fleet(300, 0.03);
     fleet.run(SettleTime);
@@ -181,7 +181,7 @@
 }
 
 // Guards against callers that are sent to a lost host, and against placing by a lost host.
-TEST_CASE("GossipRounds.LostHostIsLostToAllWithinTwoSeconds")
+TEST_CASE("GossipPlanner.LostHostIsLostToAllWithinTwoSeconds")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -192,7 +192,7 @@
     }
 }
 
-TEST_CASE("GossipRounds.HalfOfTheHostsAreLostAtOnceAndComeBack")
+TEST_CASE("GossipPlanner.HalfOfTheHostsAreLostAtOnceAndComeBack")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -209,7 +209,7 @@
 }
 
 // Guards against a suspended host that takes all hosts it watches for lost when it wakes.
-TEST_CASE("GossipRounds.HostThatWasSuspendedTakesNobodyForLost")
+TEST_CASE("GossipPlanner.HostThatWasSuspendedTakesNobodyForLost")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -228,7 +228,7 @@
 }
 
 // Guards against gossip whose bytes, or the time until all know of a change, grow with the fleet.
-TEST_CASE("GossipRounds.AThousandHostsAgreeAtTheCostOfSixty")
+TEST_CASE("GossipPlanner.AThousandHostsAgreeAtTheCostOfSixty")
 {
     for (const std::size_t size : {60U, 1000U}) {
         GossipingFleet fleet(size);
--- a/tests/routing/placinghosts_test.cpp
+++ b/tests/routing/placinghosts_test.cpp
@@ -14,25 +14,25 @@
 
 namespace {
 
-PeerNews host(const std::string &ip, units::Duration uptime, PeerState state = PeerState::Serving)
+PeerUpdate host(const std::string &ip, units::Duration uptime, PeerState state = PeerState::Serving)
 {
-    PeerNews news;
+    PeerUpdate news;
     news.ip = ip;
     news.uptime = uptime;
     news.state = state;
     return news;
 }
 
-std::vector<std::string> orderOf(const std::vector<PeerNews> &hosts)
+std::vector<std::string> orderOf(const std::vector<PeerUpdate> &hosts)
 {
     units::WorkCount work;
-    return placingOrder(hosts, work);
+    return rankCoordinators(hosts, work);
 }
 
 // A fleet of two sizes of hosts, some of which have started lately.
-std::vector<PeerNews> mixedFleet(int size)
+std::vector<PeerUpdate> mixedFleet(int size)
 {
-    std::vector<PeerNews> hosts;
+    std::vector<PeerUpdate> hosts;
     for (int i = 0; i < size; ++i) {
         const std::string ip = "10." + std::to_string(i / 250) + ".0." + std::to_string(i % 250);
         hosts.push_back(host(ip, seconds(i % 7 == 0 ? i % 40 : 60)));
@@ -41,19 +41,19 @@
     return hosts;
 }
 
-// Chooses the best host again and again, by the words of placingOrder's contract.
-std::vector<std::string> orderByRepeatedChoice(std::vector<PeerNews> hosts)
+// Chooses the best host again and again, by the words of rankCoordinators's contract.
+std::vector<std::string> orderByRepeatedChoice(std::vector<PeerUpdate> hosts)
 {
-    const auto hashOf = [](const PeerNews &each) {
+    const auto hashOf = [](const PeerUpdate &each) {
         return units::spreadHash({each.ip});
     };
     std::vector<std::string> order;
     while (!hosts.empty()) {
         int most = 0;
-        for (const PeerNews &each : hosts)
+        for (const PeerUpdate &each : hosts)
             most = std::max(most, each.millicores);
         units::Duration oldest{};
-        for (const PeerNews &each : hosts) {
+        for (const PeerUpdate &each : hosts) {
             if (each.millicores == most)
                 oldest = std::max(oldest, each.uptime);
         }
@@ -76,10 +76,10 @@
 {
     // The placing host is killed and restarts with nothing in memory. Whoever took over keeps the
     // placing, because it knows what is cached where.
-    std::vector<PeerNews> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(60)),
-                                host("10.0.0.3", seconds(60))};
+    std::vector<PeerUpdate> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(60)),
+                                  host("10.0.0.3", seconds(60))};
     const std::string first = orderOf(hosts)[0];
-    for (PeerNews &each : hosts) {
+    for (PeerUpdate &each : hosts) {
         if (each.ip == first)
             each.uptime = seconds(1);
     }
@@ -91,8 +91,8 @@
 TEST_CASE("PlacingHosts.HostsOfAboutTheSameAgeAreOrderedAlikeEverywhere")
 {
     // All start within 0.3 s, and the ages that a host hears differ by some hundred milliseconds.
-    std::vector<PeerNews> one;
-    std::vector<PeerNews> other;
+    std::vector<PeerUpdate> one;
+    std::vector<PeerUpdate> other;
     for (int i = 1; i <= 8; ++i) {
         const std::string ip = "10.0.0." + std::to_string(i);
         one.push_back(host(ip, milliseconds(20000 + i * 40)));
@@ -105,7 +105,7 @@
 TEST_CASE("PlacingHosts.OnlyServingHostsPlace")
 {
     CHECK(orderOf({host("10.0.0.1", seconds(9), PeerState::Leaving), host("10.0.0.2", seconds(1)),
-                   host("10.0.0.3", seconds(9), PeerState::Waiting)})
+                   host("10.0.0.3", seconds(9), PeerState::NotReady)})
           == std::vector<std::string>{"10.0.0.2"});
 }
 
@@ -113,7 +113,7 @@
 {
     // Placing for the whole fleet takes about all the processor of the smallest hosts; requests
     // would wait there longer than their targets.
-    std::vector<PeerNews> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(5))};
+    std::vector<PeerUpdate> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(5))};
     hosts[0].millicores = 120;
     hosts[1].millicores = 500;
     CHECK(orderOf(hosts)[0] == "10.0.0.2");
@@ -124,7 +124,7 @@
     // Hosts of two sizes start together. A small host that placed for all answered late, most
     // hosts then placed alone, and shared parts were read again all over the pool. The order
     // within a size is by hash, so many addresses are tried: one pair alone may pass by chance.
-    std::vector<PeerNews> hosts;
+    std::vector<PeerUpdate> hosts;
     for (int i = 1; i <= 81; ++i) {
         hosts.push_back(host("10.0.0." + std::to_string(i), seconds(60)));
         hosts.back().millicores = i % 13 == 0 ? 500 : 120;
@@ -149,7 +149,7 @@
 {
     for (const int size : {60, 300, 1000, 2000}) {
         units::WorkCount work;
-        placingOrder(mixedFleet(size), work);
+        rankCoordinators(mixedFleet(size), work);
         CHECK(double(work.value()) / size < 5 * std::log2(size));
     }
 }
--- a/tests/routing/readqueue_test.cpp
+++ b/tests/routing/prefillqueue_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/readqueue.h>
+#include <monsoongrade/routing/prefillqueue.h>
 
 #include <doctest/doctest.h>
 
@@ -19,11 +19,12 @@
     result.sharedPart = part;
     result.promptTokens = 15000; // 100 ms to read
     result.targetIn = targetIn;
-    result.givenUpIn = seconds(8);
+    result.expiresIn = seconds(8);
     return result;
 }
 
-std::vector<std::uint64_t> numbers(ReadQueue &queue, units::TimePoint now, std::size_t most = Many)
+std::vector<std::uint64_t> numbers(PrefillQueue &queue, units::TimePoint now,
+                                   std::size_t most = Many)
 {
     std::vector<std::uint64_t> result;
     for (const PlacementTicket &ticket : queue.next(most, now))
@@ -33,9 +34,9 @@
 
 } // namespace
 
-TEST_CASE("ReadQueue.TierGoesBeforeDueTime")
+TEST_CASE("PrefillQueue.TierGoesBeforeDueTime")
 {
-    ReadQueue queue;
+    PrefillQueue queue;
     queue.add({"h", 1}, query(2, milliseconds(300)), 1000, Start);
     queue.add({"h", 2}, query(1, milliseconds(900)), 1000, Start);
     queue.add({"h", 3}, query(2, milliseconds(200)), 1000, Start);
@@ -43,11 +44,11 @@
     CHECK(numbers(queue, Start, 1) == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE("ReadQueue.RequestThatIsLateAnywayDoesNotMakeOthersLate")
+TEST_CASE("PrefillQueue.RequestThatIsLateAnywayDoesNotMakeOthersLate")
 {
     // In a burst more arrives than can be read. Served in order of arrival, all would be late by
     // the same time; this way the late ones go last within their tier, but are not forgotten.
-    ReadQueue queue;
+    PrefillQueue queue;
     queue.add({"h", 1}, query(2, milliseconds(300)), 1000, Start);
     queue.add({"h", 2}, query(2, milliseconds(900)), 1000, Start);
     const units::TimePoint later = Start + milliseconds(250);
@@ -56,12 +57,12 @@
     CHECK(numbers(queue, later) == std::vector<std::uint64_t>{2, 1, 3});
 }
 
-TEST_CASE("ReadQueue.LongPromptKeepsItsPlaceAmongShortOnes")
+TEST_CASE("PrefillQueue.LongPromptKeepsItsPlaceAmongShortOnes")
 {
     // In an overload the prompts of one tier wait together. A prompt of 54,000 tokens takes 0.8 s
     // to read; counted as late that much sooner, it would go behind all short ones until its client
     // leaves.
-    ReadQueue queue;
+    PrefillQueue queue;
     PlacementQuery longPrompt = query(2, milliseconds(900));
     longPrompt.promptTokens = 54000;
     queue.add({"h", 1}, longPrompt, 54000, Start);
@@ -69,11 +70,11 @@
     CHECK(numbers(queue, Start + milliseconds(600)) == std::vector<std::uint64_t>{1, 2});
 }
 
-TEST_CASE("ReadQueue.GivenUpAndRemovedRequestsAreGone")
+TEST_CASE("PrefillQueue.GivenUpAndRemovedRequestsAreGone")
 {
     // A request that starts in the last second before its client leaves would be read in vain. Its
     // client is to be told, so it is returned and not dropped in silence.
-    ReadQueue queue;
+    PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1)), 1000, Start);
     queue.add({"h", 2}, query(1, seconds(1)), 1000, Start);
     queue.remove({"h", 1});
@@ -89,9 +90,9 @@
     CHECK(queue.tokensAhead(units::Tier(9)).late == 0);
 }
 
-TEST_CASE("ReadQueue.CountsTheTokensAheadByTierAndLateness")
+TEST_CASE("PrefillQueue.CountsTheTokensAheadByTierAndLateness")
 {
-    ReadQueue queue;
+    PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1), "a"), 5000, Start);
     queue.add({"h", 2}, query(2, milliseconds(50), "b"), 7000, Start);
     queue.add({"h", 3}, query(2, seconds(1), "a"), 5000, Start); // only its own tokens count
@@ -104,9 +105,9 @@
     CHECK(queue.tokensAhead(units::Tier(2)).onTime == 5000 + own);
 }
 
-TEST_CASE("ReadQueue.FindsThoseThatWaitForTheSamePart")
+TEST_CASE("PrefillQueue.FindsThoseThatWaitForTheSamePart")
 {
-    ReadQueue queue;
+    PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1), "a"), 1000, Start);
     queue.add({"h", 2}, query(1, seconds(1), "b"), 1000, Start);
     queue.add({"g", 2}, query(1, seconds(1), "a"), 1000, Start);
--- a/tests/routing/readspeed_test.cpp
+++ b/tests/routing/prefillrate_test.cpp
@@ -1,4 +1,4 @@
-#include <monsoongrade/routing/readspeed.h>
+#include <monsoongrade/routing/prefillrate.h>
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,7 @@
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 
 // Reads of different sizes on engines that read so many tokens a millisecond, 40 ms beside.
-void read(ReadSpeed &speed, double tokensPerMs, int reads, units::TimePoint &now)
+void read(PrefillRate &speed, double tokensPerMs, int reads, units::TimePoint &now)
 {
     for (int i = 0; i < reads; ++i) {
         const std::int64_t tokens = 500 + 1700 * (i % 11);
@@ -29,19 +29,19 @@
 
 } // namespace
 
-TEST_CASE("ReadSpeed.StartValueHoldsUntilEnoughIsKnown")
+TEST_CASE("PrefillRate.StartValueHoldsUntilEnoughIsKnown")
 {
-    ReadSpeed speed;
+    PrefillRate speed;
     units::TimePoint now = Start;
     read(speed, 66, 3, now);
-    CHECK(speed.tokensPerMs(now) == ReadSpeed::StartTokensPerMs);
+    CHECK(speed.tokensPerMs(now) == PrefillRate::StartTokensPerMs);
     CHECK(speed.tokensIn(std::chrono::milliseconds(100), now) == 10000);
 }
 
-TEST_CASE("ReadSpeed.LearnsSlowAndFastEnginesBesideTheFixedTime")
+TEST_CASE("PrefillRate.LearnsSlowAndFastEnginesBesideTheFixedTime")
 {
     for (const double tokensPerMs : {16.0, 66.0, 157.0, 640.0}) {
-        ReadSpeed speed;
+        PrefillRate speed;
         units::TimePoint now = Start;
         read(speed, tokensPerMs, 60, now);
         CHECK_MESSAGE(isNear(speed.tokensPerMs(now), tokensPerMs), "expected about ", tokensPerMs,
@@ -49,20 +49,20 @@
     }
 }
 
-TEST_CASE("ReadSpeed.FollowsAChangeOfSpeed")
+TEST_CASE("PrefillRate.FollowsAChangeOfSpeed")
 {
     // New weights or other machines: the engines read at a quarter of the speed from now on. With
     // the old speed, endpoints would take four times as much as they can read in time.
-    ReadSpeed speed;
+    PrefillRate speed;
     units::TimePoint now = Start;
     read(speed, 160, 100, now);
     read(speed, 40, 400, now);
     CHECK_MESSAGE(isNear(speed.tokensPerMs(now), 40), "got ", speed.tokensPerMs(now));
 }
 
-TEST_CASE("ReadSpeed.PoolOfMixedSpeedsGetsASpeedBetweenThem")
+TEST_CASE("PrefillRate.PoolOfMixedSpeedsGetsASpeedBetweenThem")
 {
-    ReadSpeed speed;
+    PrefillRate speed;
     units::TimePoint now = Start;
     for (int i = 0; i < 20; ++i) {
         read(speed, 160, 11, now);
@@ -72,11 +72,11 @@
     CHECK(speed.tokensPerMs(now) < 160);
 }
 
-TEST_CASE("ReadSpeed.EndpointThatHangsMisleadsOnlySoFar")
+TEST_CASE("PrefillRate.EndpointThatHangsMisleadsOnlySoFar")
 {
     // One of ten endpoints answers after 3 s whatever it reads. Its reads count as at most three
     // times as long as expected, so the pool does not look ten times as slow.
-    ReadSpeed speed;
+    PrefillRate speed;
     units::TimePoint now = Start;
     read(speed, 66, 60, now);
     for (int i = 0; i < 20; ++i) {
@@ -87,11 +87,11 @@
     CHECK_MESSAGE(speed.tokensPerMs(now) < 132, "got ", speed.tokensPerMs(now));
 }
 
-TEST_CASE("ReadSpeed.ForgetsEnginesThatReadNothingForLong")
+TEST_CASE("PrefillRate.ForgetsEnginesThatReadNothingForLong")
 {
-    ReadSpeed speed;
+    PrefillRate speed;
     units::TimePoint now = Start;
     read(speed, 640, 60, now);
     now += std::chrono::minutes(2);
-    CHECK(speed.tokensPerMs(now) == ReadSpeed::StartTokensPerMs);
+    CHECK(speed.tokensPerMs(now) == PrefillRate::StartTokensPerMs);
 }
--- a/tests/routing/routetable_test.cpp
+++ b/tests/routing/routetable_test.cpp
@@ -34,9 +34,9 @@
     return route == nullptr ? "none" : route->name.value();
 }
 
-RequestFacts facts(const std::string &key)
+RequestMetadata facts(const std::string &key)
 {
-    RequestFacts result;
+    RequestMetadata result;
     result.host = "h";
     result.key = key;
     return result;
--- a/tests/routing/shortpausereserve_test.cpp
+++ b/tests/routing/shortpausereserve_test.cpp
@@ -14,13 +14,13 @@
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 const units::PoolName Pool("p");
 
-std::vector<EndpointRoster::Status> endpoints(int count)
+std::vector<EndpointRegistry::Status> endpoints(int count)
 {
-    std::vector<EndpointRoster::Status> result;
+    std::vector<EndpointRegistry::Status> result;
     for (int i = 0; i < count; ++i) {
         result.push_back(std::make_shared<EndpointStatus>());
-        result.back()->described.slots = 64;
-        result.back()->described.id = units::EndpointId("e" + std::to_string(i));
+        result.back()->registration.slots = 64;
+        result.back()->registration.id = units::EndpointId("e" + std::to_string(i));
     }
     return result;
 }
--- a/tests/routing/simulatedpool.cpp
+++ b/tests/routing/simulatedpool.cpp
@@ -40,10 +40,10 @@
         endpoint.id = units::EndpointId("e" + std::to_string(i));
         endpoint.pool = Pool;
         endpoint.slots = options.slots;
-        roster_.update(endpoint);
+        registry_.update(endpoint);
     }
-    for (const EndpointRoster::Status &status : roster_.available(Pool))
-        engines_[status->described.id.value()].status = status;
+    for (const EndpointRegistry::Status &status : registry_.available(Pool))
+        engines_[status->registration.id.value()].status = status;
 }
 
 std::map<std::string, SimulatedOutcome> SimulatedPool::play()
@@ -55,7 +55,7 @@
             arrive();
         leave();
         if (tick % TicksBetweenLooks == 0) {
-            for (const auto &[ticket, choice] : desk_.placeWaiting(roster_, now_))
+            for (const auto &[ticket, choice] : desk_.placeWaiting(registry_, now_))
                 submit(ticket.number, choice);
         }
         for (auto &[id, engine] : engines_) {
@@ -81,8 +81,9 @@
             ++outcomes_[kind.name].asked;
             if (isAmongLargest(request))
                 ++outcomes_[kind.name].largest;
-            submit(number,
-                   desk_.place(ticketOf(number), queryFor(request), roster_.available(Pool), now_));
+            submit(
+                number,
+                desk_.place(ticketOf(number), queryFor(request), registry_.available(Pool), now_));
         }
     }
 }
@@ -119,7 +120,7 @@
         = options_.keepsEndpoints && needsShortPauses(route, options_.engine.tokensPerEvent);
     query.poolServesShortPauses = options_.keepsEndpoints;
     query.targetIn = kind.target;
-    query.givenUpIn = kind.patience;
+    query.expiresIn = kind.patience;
     query.mayWait = options_.mayWait;
     return query;
 }
@@ -140,7 +141,7 @@
         open_.erase(found);
         return;
     }
-    Engine &engine = engines_[choice.endpoint->described.id.value()];
+    Engine &engine = engines_[choice.endpoint->registration.id.value()];
     const auto cached = std::find(engine.cached.begin(), engine.cached.end(), request.part);
     const bool isCached = cached != engine.cached.end();
     if (isCached)
@@ -167,7 +168,7 @@
         if (now_ < request.arrivedAt + request.kind->patience)
             continue;
         ++outcomes_[request.kind->name].left;
-        desk_.hear(ticketOf(number), PlacementNews::Withdrawn, now_);
+        desk_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
         waiting_.erase(number);
         open_.erase(number);
     }
@@ -218,7 +219,7 @@
         return;
     if (request.lastEventAt == units::TimePoint{}) {
         request.isFirstLate = engine.nextStep - request.arrivedAt > request.kind->target;
-        desk_.hear(ticketOf(number), PlacementNews::FirstEvent, now_);
+        desk_.onEvent(ticketOf(number), PlacementEvent::FirstEvent, now_);
     } else {
         request.hadPause
             = request.hadPause || engine.nextStep - request.lastEventAt > request.kind->maxPause;
@@ -229,7 +230,7 @@
     engine.running.erase(std::find(engine.running.begin(), engine.running.end(), number));
     if (isCut) {
         ++outcomes_[request.kind->name].cut;
-        desk_.hear(ticketOf(number), PlacementNews::Withdrawn, now_);
+        desk_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
         open_.erase(number);
         return;
     }
@@ -248,7 +249,7 @@
         ++outcome.onTime;
     if (isAmongLargest(request))
         ++outcome.largestServed;
-    desk_.hear(ticketOf(number), PlacementNews::Completed, now_);
+    desk_.onEvent(ticketOf(number), PlacementEvent::Completed, now_);
     open_.erase(number);
 }
 
--- a/tests/routing/simulatedpool.h
+++ b/tests/routing/simulatedpool.h
@@ -1,7 +1,7 @@
 #ifndef MONSOONGRADE_TESTS_ROUTING_SIMULATEDPOOL_H
 #define MONSOONGRADE_TESTS_ROUTING_SIMULATEDPOOL_H
 
-#include <monsoongrade/routing/placementdesk.h>
+#include <monsoongrade/routing/requestplacer.h>
 
 #include <deque>
 #include <map>
@@ -60,7 +60,7 @@
     int served() const { return onTime + firstLate + paused; }
 };
 
-// A pool of model engines in simulated time, with PlacementDesk in front of it and no network.
+// A pool of model engines in simulated time, with RequestPlacer in front of it and no network.
 // Engines read prompts in chunks between steps that make one token for each running stream; they
 // keep the parts used last within their memory.
 class SimulatedPool
@@ -97,7 +97,7 @@
     };
     struct Engine
     {
-        EndpointRoster::Status status;
+        EndpointRegistry::Status status;
         std::deque<std::uint64_t> reading;
         std::vector<std::uint64_t> running;
         std::vector<std::string> cached; // the part used last at the end
@@ -117,8 +117,8 @@
 
     Options options_;
     std::vector<SimulatedClass> classes_;
-    EndpointRoster roster_;
-    PlacementDesk desk_;
+    EndpointRegistry registry_;
+    RequestPlacer desk_;
     std::map<std::string, Engine> engines_; // by endpoint id
     std::map<std::uint64_t, Request> open_;
     std::set<std::uint64_t> waiting_;
--- a/tests/routing/storefleet.h
+++ b/tests/routing/storefleet.h
@@ -10,17 +10,17 @@
 
 // Hosts 10.0.0.0, 10.0.0.1 and so on in five failure domains, every fourth with more processor,
 // that have run for a minute and have the store.
-inline std::vector<PeerNews> storeFleet(int hosts)
+inline std::vector<PeerUpdate> storeFleet(int hosts)
 {
-    std::vector<PeerNews> result;
+    std::vector<PeerUpdate> result;
     for (int i = 0; i < hosts; ++i) {
-        PeerNews host;
+        PeerUpdate host;
         host.ip = "10.0.0." + std::to_string(i);
         host.failureDomain = units::FailureDomain("z" + std::to_string(i % 5));
         host.state = PeerState::Serving;
         host.millicores = i % 4 == 0 ? 500 : 120;
         host.uptime = std::chrono::minutes(1);
-        host.storeFor = std::chrono::minutes(1);
+        host.storeReachableFor = std::chrono::minutes(1);
         result.push_back(host);
     }
     return result;
--- a/tests/routing/storereaders_test.cpp
+++ b/tests/routing/storereaders_test.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-const PeerNews &hostWith(const std::string &ip, const std::vector<PeerNews> &hosts)
+const PeerUpdate &hostWith(const std::string &ip, const std::vector<PeerUpdate> &hosts)
 {
     return *std::find_if(hosts.begin(), hosts.end(),
-                         [&](const PeerNews &host) { return host.ip == ip; });
+                         [&](const PeerUpdate &host) { return host.ip == ip; });
 }
 
 } // namespace
@@ -24,12 +24,12 @@
 TEST_CASE("StoreReaders.AsManyInAnyFleetOneOfEachFailureDomainFirst")
 {
     for (const int size : {30, 200}) {
-        const std::vector<PeerNews> hosts = storeFleet(size);
-        const std::vector<std::string> readers = storeReaders(hosts, ReadersOfFleet);
-        REQUIRE(readers.size() == ReadersOfFleet);
+        const std::vector<PeerUpdate> hosts = storeFleet(size);
+        const std::vector<std::string> readers = storeReaders(hosts, StoreReaderCount);
+        REQUIRE(readers.size() == StoreReaderCount);
         std::set<std::string> domains;
         for (std::size_t i = 0; i < 5; ++i) {
-            const PeerNews &reader = hostWith(readers[i], hosts);
+            const PeerUpdate &reader = hostWith(readers[i], hosts);
             domains.insert(reader.failureDomain.value());
             CHECK(reader.millicores == 500);
         }
@@ -41,18 +41,18 @@
 {
     // The store is away and one host after the other stops to serve. If readers were chosen among
     // those that still do, more and more hosts would call the store.
-    std::vector<PeerNews> hosts = storeFleet(100);
-    const std::vector<std::string> before = storeReaders(hosts, ReadersOfFleet);
+    std::vector<PeerUpdate> hosts = storeFleet(100);
+    const std::vector<std::string> before = storeReaders(hosts, StoreReaderCount);
     for (std::size_t i = 0; i < hosts.size(); i += 2)
-        hosts[i].state = PeerState::Waiting;
-    CHECK(storeReaders(hosts, ReadersOfFleet) == before);
+        hosts[i].state = PeerState::NotReady;
+    CHECK(storeReaders(hosts, StoreReaderCount) == before);
 }
 
 TEST_CASE("StoreReaders.LeavingRefusedAndJustStartedHostsGiveTheirPlaceToOthers")
 {
-    std::vector<PeerNews> hosts = storeFleet(100);
-    const std::vector<std::string> before = storeReaders(hosts, ReadersOfFleet);
-    for (PeerNews &host : hosts) {
+    std::vector<PeerUpdate> hosts = storeFleet(100);
+    const std::vector<std::string> before = storeReaders(hosts, StoreReaderCount);
+    for (PeerUpdate &host : hosts) {
         if (host.ip == before[0])
             host.state = PeerState::Leaving;
         if (host.ip == before[1])
@@ -60,19 +60,19 @@
         if (host.ip == before[2])
             host.uptime = std::chrono::milliseconds(500);
     }
-    const std::vector<std::string> now = storeReaders(hosts, ReadersOfFleet, {before[3]});
-    CHECK(now.size() == ReadersOfFleet);
+    const std::vector<std::string> now = storeReaders(hosts, StoreReaderCount, {before[3]});
+    CHECK(now.size() == StoreReaderCount);
     for (int i = 0; i < 4; ++i)
         CHECK(std::find(now.begin(), now.end(), before[std::size_t(i)]) == now.end());
 }
 
 TEST_CASE("StoreReaders.AskersAreSpreadAndStayInTheirFailureDomain")
 {
-    const std::vector<PeerNews> hosts = storeFleet(200);
-    const std::vector<std::string> readers = storeReaders(hosts, ReadersOfFleet);
+    const std::vector<PeerUpdate> hosts = storeFleet(200);
+    const std::vector<std::string> readers = storeReaders(hosts, StoreReaderCount);
     std::map<std::string, int> askers;
-    for (const PeerNews &host : hosts) {
-        const std::vector<std::string> order = askingOrder(host.ip, readers, hosts);
+    for (const PeerUpdate &host : hosts) {
+        const std::vector<std::string> order = readerOrder(host.ip, readers, hosts);
         REQUIRE(order.size() == readers.size());
         CHECK(hostWith(order.front(), hosts).failureDomain == host.failureDomain);
         ++askers[order.front()];
--- a/tests/routing/storeaccess_test.cpp
+++ b/tests/routing/storesourceselector_test.cpp
@@ -1,6 +1,6 @@
 #include "storefleet.h"
 
-#include <monsoongrade/routing/storeaccess.h>
+#include <monsoongrade/routing/storesourceselector.h>
 
 #include <doctest/doctest.h>
 
@@ -25,14 +25,14 @@
 
     StoreSource next() { return access.next(hosts, true, now); }
 
-    std::vector<PeerNews> hosts;
+    std::vector<PeerUpdate> hosts;
     units::TimePoint now{std::chrono::minutes(1)};
-    StoreAccess access;
+    StoreSourceSelector access;
 };
 
 std::string firstReader()
 {
-    return storeReaders(storeFleet(100), ReadersOfFleet).front();
+    return storeReaders(storeFleet(100), StoreReaderCount).front();
 }
 
 // A host that is no reader.
@@ -40,34 +40,34 @@
 
 } // namespace
 
-TEST_CASE("StoreAccess.InASmallFleetEachHostReadsTheStore")
+TEST_CASE("StoreSourceSelector.InASmallFleetEachHostReadsTheStore")
 {
     AccessWorld world(Follower, 8);
     CHECK(world.next().kind == Kind::Store);
 }
 
-TEST_CASE("StoreAccess.ReadersCallTheStoreAndOthersAskAReader")
+TEST_CASE("StoreSourceSelector.ReadersCallTheStoreAndOthersAskAReader")
 {
     AccessWorld reader(firstReader());
     CHECK(reader.next().kind == Kind::Store);
     AccessWorld follower(Follower);
     const StoreSource source = follower.next();
     REQUIRE(source.kind == Kind::Host);
-    const std::vector<std::string> readers = storeReaders(follower.hosts, ReadersOfFleet);
+    const std::vector<std::string> readers = storeReaders(follower.hosts, StoreReaderCount);
     CHECK(std::find(readers.begin(), readers.end(), source.host) != readers.end());
 }
 
-TEST_CASE("StoreAccess.FollowerOfAReaderThatWasKilledAsksTheNextAndNeverTheStore")
+TEST_CASE("StoreSourceSelector.FollowerOfAReaderThatWasKilledAsksTheNextAndNeverTheStore")
 {
     // All readers are killed at once. Each refuses connections at once, and the follower goes from
     // one to the next until it comes to a host that lives.
     AccessWorld world(Follower);
-    const std::vector<std::string> killed = storeReaders(world.hosts, ReadersOfFleet);
+    const std::vector<std::string> killed = storeReaders(world.hosts, StoreReaderCount);
     StoreSource source = world.next();
     for (int i = 0; i < 20 && source.kind == Kind::Host; ++i) {
         if (std::find(killed.begin(), killed.end(), source.host) == killed.end())
             break;
-        world.access.onHostSilent(source.host, world.now, world.now + milliseconds(3));
+        world.access.onHostTimeout(source.host, world.now, world.now + milliseconds(3));
         world.now += milliseconds(3);
         source = world.next();
     }
@@ -75,17 +75,17 @@
     CHECK(std::find(killed.begin(), killed.end(), source.host) == killed.end());
 }
 
-TEST_CASE("StoreAccess.AskedHostReadsForAMomentThoughItIsNoReader")
+TEST_CASE("StoreSourceSelector.AskedHostReadsForAMomentThoughItIsNoReader")
 {
     AccessWorld world(Follower);
     REQUIRE(world.next().kind == Kind::Host);
-    world.access.onAsked(world.now);
+    world.access.onReadRequested(world.now);
     CHECK(world.next().kind == Kind::Store);
     world.now += seconds(4);
     CHECK(world.next().kind == Kind::Host);
 }
 
-TEST_CASE("StoreAccess.HostThatReachesNoOtherReadsTheStoreItself")
+TEST_CASE("StoreSourceSelector.HostThatReachesNoOtherReadsTheStoreItself")
 {
     // Two hosts in a row give no answer: the path to the others is gone, not just one host.
     AccessWorld world(Follower);
@@ -94,14 +94,14 @@
         REQUIRE(source.kind == Kind::Host);
         const units::TimePoint calledAt = world.now;
         world.now += milliseconds(1500);
-        world.access.onHostSilent(source.host, calledAt, world.now);
+        world.access.onHostTimeout(source.host, calledAt, world.now);
     }
     CHECK(world.next().kind == Kind::Store);
     world.now += seconds(4);
     CHECK(world.next().kind == Kind::Host);
 }
 
-TEST_CASE("StoreAccess.OneProbeAtATimeWhileTheStoreIsAway")
+TEST_CASE("StoreSourceSelector.OneProbeAtATimeWhileTheStoreIsAway")
 {
     // The store is away for ten seconds. One reader makes about two calls a second for both kinds
     // of objects together, and notices the return within half a second.
@@ -125,7 +125,7 @@
     CHECK(calls >= 16);
 }
 
-TEST_CASE("StoreAccess.ReaderThatTheStoreRefusesFollowsAnother")
+TEST_CASE("StoreSourceSelector.ReaderThatTheStoreRefusesFollowsAnother")
 {
     // The store refuses this reader and serves another, whose proof is younger than the refusal.
     // The reader leaves its place and makes no more calls for a while.
@@ -153,7 +153,7 @@
     CHECK(world.next().kind == Kind::Store);
 }
 
-TEST_CASE("StoreAccess.AnswerFromBeforeTheOutageIsNoSignOfARefusal")
+TEST_CASE("StoreSourceSelector.AnswerFromBeforeTheOutageIsNoSignOfARefusal")
 {
     // The store is away for all. Another reader has not noticed yet and still answers.
     AccessWorld world(firstReader());
@@ -163,30 +163,30 @@
     CHECK_FALSE(world.access.isRefused(world.now));
 }
 
-TEST_CASE("StoreAccess.FollowersWaitPatientlyWhileNoReaderHasTheStore")
+TEST_CASE("StoreSourceSelector.FollowersWaitPatientlyWhileNoReaderHasTheStore")
 {
     AccessWorld world(Follower);
-    for (std::size_t i = 0; i < ReadersOfFleet; ++i) {
+    for (std::size_t i = 0; i < StoreReaderCount; ++i) {
         const StoreSource source = world.next();
         REQUIRE(source.kind == Kind::Host);
-        CHECK_FALSE(source.isPatient);
+        CHECK_FALSE(source.waitsForStore);
         world.access.onHostWithoutStore(source.host, world.now);
     }
     const StoreSource source = world.next();
     CHECK(source.kind == Kind::Host);
-    CHECK(source.isPatient);
+    CHECK(source.waitsForStore);
 }
 
-TEST_CASE("StoreAccess.MoreHostsTryWhenAllReadersAreWithoutTheStore")
+TEST_CASE("StoreSourceSelector.MoreHostsTryWhenAllReadersAreWithoutTheStore")
 {
     // The store refuses a third of the hosts, all readers among them. They can't know that it
     // serves others until one of the others tries.
     int tries = 0;
-    const std::vector<std::string> refused = storeReaders(storeFleet(100), ReadersOfFleet);
+    const std::vector<std::string> refused = storeReaders(storeFleet(100), StoreReaderCount);
     for (int i = 0; i < 100; ++i) {
         AccessWorld world("10.0.0." + std::to_string(i));
-        for (PeerNews &host : world.hosts)
-            host.storeFor = {};
+        for (PeerUpdate &host : world.hosts)
+            host.storeReachableFor = {};
         const units::TimePoint end = world.now + seconds(4);
         bool hasTried = false;
         while (world.now < end && !hasTried) {
@@ -209,18 +209,18 @@
     CHECK(tries <= 18);
 }
 
-TEST_CASE("StoreAccess.StartingFleetReadsFromTheHostsThatTheSettingsName")
+TEST_CASE("StoreSourceSelector.StartingFleetReadsFromTheHostsThatTheSettingsName")
 {
     // All hosts start together and know nobody but the hosts that the settings name.
-    StoreAccess seed("10.0.0.1", {"10.0.0.0", "10.0.0.1"}, units::TimePoint{});
-    PeerNews own = storeFleet(2)[1];
+    StoreSourceSelector seed("10.0.0.1", {"10.0.0.0", "10.0.0.1"}, units::TimePoint{});
+    PeerUpdate own = storeFleet(2)[1];
     own.uptime = {};
-    own.storeFor = {};
-    own.state = PeerState::Waiting;
+    own.storeReachableFor = {};
+    own.state = PeerState::NotReady;
     CHECK(seed.next({own}, false, units::TimePoint{milliseconds(1)}).kind == Kind::Store);
 
-    StoreAccess other("10.0.0.9", {"10.0.0.0", "10.0.0.1"}, units::TimePoint{});
-    PeerNews ownNews = own;
+    StoreSourceSelector other("10.0.0.9", {"10.0.0.0", "10.0.0.1"}, units::TimePoint{});
+    PeerUpdate ownNews = own;
     ownNews.ip = "10.0.0.9";
     const StoreSource first = other.next({ownNews}, false, units::TimePoint{milliseconds(1)});
     CHECK(first.kind == Kind::Store);
@@ -231,66 +231,66 @@
     CHECK(then.host == "10.0.0.1");
 }
 
-TEST_CASE("StoreAccess.HostThatStartsWithoutAnyOtherReadsAfterAMoment")
+TEST_CASE("StoreSourceSelector.HostThatStartsWithoutAnyOtherReadsAfterAMoment")
 {
-    StoreAccess access("10.0.0.9", {"10.0.0.0"}, units::TimePoint{});
-    PeerNews own;
+    StoreSourceSelector access("10.0.0.9", {"10.0.0.0"}, units::TimePoint{});
+    PeerUpdate own;
     own.ip = "10.0.0.9";
     CHECK(access.next({own}, true, units::TimePoint{milliseconds(300)}).kind == Kind::Wait);
     CHECK(access.next({own}, true, units::TimePoint{milliseconds(350)}).kind == Kind::Store);
 }
 
-TEST_CASE("StoreAccess.HostThatStartsInARunningFleetAsksAReader")
+TEST_CASE("StoreSourceSelector.HostThatStartsInARunningFleetAsksAReader")
 {
-    StoreAccess access(Follower, {"10.0.0.0"}, units::TimePoint{});
+    StoreSourceSelector access(Follower, {"10.0.0.0"}, units::TimePoint{});
     CHECK(access.next(storeFleet(100), false, units::TimePoint{milliseconds(3)}).kind
           == Kind::Host);
 }
 
 // Guards against a start at which each host of a large fleet reads all endpoints at the store.
-TEST_CASE("StoreAccess.HostOfALargeStartingFleetAsksALargeHost")
+TEST_CASE("StoreSourceSelector.HostOfALargeStartingFleetAsksALargeHost")
 {
-    std::vector<PeerNews> hosts = storeFleet(100);
-    for (PeerNews &host : hosts)
+    std::vector<PeerUpdate> hosts = storeFleet(100);
+    for (PeerUpdate &host : hosts)
         host.uptime = milliseconds(100);
-    StoreAccess access(Follower, {"10.0.0.1"}, units::TimePoint{});
+    StoreSourceSelector access(Follower, {"10.0.0.1"}, units::TimePoint{});
     units::TimePoint now{milliseconds(100)};
     CHECK(access.next(hosts, false, now).mayBeStale);
-    access.noteLargeFleet();
+    access.markFleetLarge();
     CHECK(access.next(hosts, false, now).kind == Kind::Wait);
     now += milliseconds(700);
     const StoreSource source = access.next(hosts, false, now);
     REQUIRE(source.kind == Kind::Host);
-    const std::vector<std::string> readers = storeReaders(hosts, ReadersOfFleet);
+    const std::vector<std::string> readers = storeReaders(hosts, StoreReaderCount);
     CHECK(std::find(readers.begin(), readers.end(), source.host) != readers.end());
 }
 
-TEST_CASE("StoreAccess.ReaderOfALargeStartingFleetBeginsWithAListThatCostsLittle")
+TEST_CASE("StoreSourceSelector.ReaderOfALargeStartingFleetBeginsWithAListThatCostsLittle")
 {
-    std::vector<PeerNews> hosts = storeFleet(100);
-    for (PeerNews &host : hosts)
+    std::vector<PeerUpdate> hosts = storeFleet(100);
+    for (PeerUpdate &host : hosts)
         host.uptime = milliseconds(800);
-    StoreAccess access(firstReader(), {"10.0.0.1"}, units::TimePoint{});
-    access.noteLargeFleet();
+    StoreSourceSelector access(firstReader(), {"10.0.0.1"}, units::TimePoint{});
+    access.markFleetLarge();
     const units::TimePoint now{milliseconds(800)};
     const StoreSource list = access.next(hosts, false, now);
     CHECK(list.kind == Kind::Store);
     CHECK(list.mayBeStale);
-    CHECK(list.isForOthers);
+    CHECK(list.servesOtherHosts);
     CHECK_FALSE(access.next(hosts, true, now).mayBeStale);
 }
 
 // Guards against hosts of a large fleet that each list all endpoints when the readers are lost.
-TEST_CASE("StoreAccess.HostsOfALargeFleetStandByForTheReaders")
+TEST_CASE("StoreSourceSelector.HostsOfALargeFleetStandByForTheReaders")
 {
     int standingBy = 0;
-    for (const PeerNews &host : storeFleet(100)) {
+    for (const PeerUpdate &host : storeFleet(100)) {
         AccessWorld world(host.ip);
-        CHECK_FALSE(world.next().wantsAll);
-        world.access.noteLargeFleet();
+        CHECK_FALSE(world.next().wantsAllObjects);
+        world.access.markFleetLarge();
         const StoreSource source = world.next();
-        standingBy += source.kind == Kind::Host && source.wantsAll ? 1 : 0;
-        CHECK(source.wantsAll <= (host.millicores == 500));
+        standingBy += source.kind == Kind::Host && source.wantsAllObjects ? 1 : 0;
+        CHECK(source.wantsAllObjects <= (host.millicores == 500));
     }
     CHECK(standingBy == 12);
 }
--- a/tests/routing/waitforecast_test.cpp
+++ b/tests/routing/waitforecast_test.cpp
@@ -12,9 +12,9 @@
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 
 WaitForecast breakdownAfter(const WaitForecaster &forecaster, TokensAhead ahead,
-                            units::Duration givenUpIn = milliseconds(6400))
+                            units::Duration expiresIn = milliseconds(6400))
 {
-    return forecaster.forecast(ahead, milliseconds(1200), givenUpIn, 60, 157);
+    return forecaster.forecast(ahead, milliseconds(1200), expiresIn, 60, 157);
 }
 
 } // namespace
@@ -32,8 +32,8 @@
     CHECK(breakdownAfter(forecaster, {5'500'000, 0}).decision == WaitDecision::Wait);
     const WaitForecast refused = breakdownAfter(forecaster, {5'500'000, 3'000'000});
     CHECK(refused.decision == WaitDecision::Refuse);
-    CHECK(refused.comeBackIn > milliseconds(1300));
-    CHECK(refused.comeBackIn < milliseconds(1500));
+    CHECK(refused.retryDelay > milliseconds(1300));
+    CHECK(refused.retryDelay < milliseconds(1500));
 }
 
 TEST_CASE("WaitForecast.RequestWhoseClientLeavesSoonerIsRefused")
--- a/tests/scaling/workerordering_test.cpp
+++ b/tests/scaling/poolautoscaler_test.cpp
@@ -1,5 +1,5 @@
+#include <monsoongrade/scaling/poolautoscaler.h>
 #include <monsoongrade/scaling/preemptiblespread.h>
-#include <monsoongrade/scaling/workerordering.h>
 #include <monsoongrade/units/manualclock.h>
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
         scaled_.scaling.preemptiblePrice = 0.2;
         for (const units::FailureDomain &domain : Domains) {
             scaled_.scaling.prices[domain] = 1;
-            scaled_.census.domains[domain].ordinary.ready = ordinaryInEach;
+            scaled_.endpointCounts.domains[domain].ordinary.ready = ordinaryInEach;
         }
         startHolder();
     }
@@ -40,7 +40,7 @@
     {
         ++token_;
         ordering_
-            = std::make_unique<WorkerOrdering>(*this, policy_, *this, *this, metrics_, clock_);
+            = std::make_unique<PoolAutoscaler>(*this, policy_, *this, *this, metrics_, clock_);
     }
 
     void run(units::Duration duration)
@@ -57,18 +57,19 @@
                 event = events_.erase(event);
             }
             ordering_->act(duties::FencingToken(token_));
-            leastReady = std::min(leastReady, scaled_.census.ready());
+            leastReady = std::min(leastReady, scaled_.endpointCounts.ready());
         }
     }
 
     // All preemptible endpoints of the domain leave, and none are to be had there for a time.
     void preempt(const units::FailureDomain &domain, units::Duration noneFor)
     {
-        KindCensus &kind = scaled_.census.domains[domain].preemptible;
+        EndpointCounts &kind = scaled_.endpointCounts.domains[domain].preemptible;
         kind.draining += kind.ready;
         kind.ready = 0;
         noneUntil_[domain] = clock_.now() + noneFor;
-        after(Notice, [this, domain] { scaled_.census.domains[domain].preemptible.draining = 0; });
+        after(Notice,
+              [this, domain] { scaled_.endpointCounts.domains[domain].preemptible.draining = 0; });
     }
 
     std::vector<ScaledPool> pools() const override { return {scaled_}; }
@@ -103,8 +104,8 @@
             done(duties::CallOutcome::Rejected);
             return;
         }
-        DomainCensus &domain = scaled_.census.domains[order.domain];
-        KindCensus &kind = order.preemptible ? domain.preemptible : domain.ordinary;
+        DomainEndpointCounts &domain = scaled_.endpointCounts.domains[order.domain];
+        EndpointCounts &kind = order.preemptible ? domain.preemptible : domain.ordinary;
         if (order.preemptible && clock_.now() < noneUntil_[order.domain]
             && order.desired > kind.ready) {
             done(duties::CallOutcome::Unavailable);
@@ -117,12 +118,12 @@
         done(duties::CallOutcome::Accepted);
     }
 
-    PoolCensus &census() { return scaled_.census; }
+    PoolEndpointCounts &endpointCounts() { return scaled_.endpointCounts; }
     int ordinary() const
     {
         int sum = 0;
-        for (const auto &[domain, census] : scaled_.census.domains)
-            sum += census.ordinary.ready;
+        for (const auto &[domain, endpointCounts] : scaled_.endpointCounts.domains)
+            sum += endpointCounts.ordinary.ready;
         return sum;
     }
 
@@ -146,14 +147,14 @@
     std::map<units::FailureDomain, units::TimePoint> noneUntil_;
     std::list<std::pair<units::TimePoint, std::function<void()>>> events_;
     std::uint64_t token_ = 0;
-    std::unique_ptr<WorkerOrdering> ordering_;
+    std::unique_ptr<PoolAutoscaler> ordering_;
 };
 
 } // namespace
 
 TEST_SUITE_BEGIN("WorkerOrdering");
 
-TEST_CASE("WorkerOrdering.ReplacesOrdinaryEndpointsWithoutAGap")
+TEST_CASE("PoolAutoscaler.ReplacesOrdinaryEndpointsWithoutAGap")
 {
     PoolWorld world(30);
     world.run(std::chrono::seconds(20));
@@ -163,7 +164,7 @@
 }
 
 // Guards against a pool that stays small after preemptions in the middle of a burst.
-TEST_CASE("WorkerOrdering.BearsTheLossOfTwoDomainsInARow")
+TEST_CASE("PoolAutoscaler.BearsTheLossOfTwoDomainsInARow")
 {
     PoolWorld world(30);
     world.run(std::chrono::seconds(25));
@@ -172,18 +173,18 @@
     world.run(std::chrono::seconds(1));
     // Ordered elsewhere at once: there before the next loss.
     world.run(std::chrono::seconds(5));
-    CHECK(world.census().ready() >= 90);
+    CHECK(world.endpointCounts().ready() >= 90);
     world.preempt(Domains[1], std::chrono::seconds(10));
     world.run(std::chrono::seconds(6));
     CHECK(world.leastReady >= 45);
-    CHECK(world.census().ready() >= 90);
+    CHECK(world.endpointCounts().ready() >= 90);
     world.run(std::chrono::seconds(25));
-    CHECK(world.census().ready() >= 90);
+    CHECK(world.endpointCounts().ready() >= 90);
     CHECK(world.ordinary() == 3);
 }
 
 // Guards against a storm of orders where nothing is to be had.
-TEST_CASE("WorkerOrdering.AsksSeldomWhereNoPreemptibleEndpointsAreToBeHad")
+TEST_CASE("PoolAutoscaler.AsksSeldomWhereNoPreemptibleEndpointsAreToBeHad")
 {
     PoolWorld world(30);
     world.run(std::chrono::seconds(25));
@@ -194,7 +195,7 @@
     CHECK(world.orders <= 8);
 }
 
-TEST_CASE("WorkerOrdering.PausesAfterARejectedCall")
+TEST_CASE("PoolAutoscaler.PausesAfterARejectedCall")
 {
     PoolWorld world(30);
     world.isRejecting = true;
@@ -206,11 +207,11 @@
 }
 
 // Guards against a new holder that takes what it finds for too much.
-TEST_CASE("WorkerOrdering.ANewHolderChangesNothing")
+TEST_CASE("PoolAutoscaler.ANewHolderChangesNothing")
 {
     PoolWorld world(30);
     world.run(std::chrono::seconds(25));
-    const int ready = world.census().ready();
+    const int ready = world.endpointCounts().ready();
     world.orders = 0;
     world.leastReady = 1000;
     world.startHolder();
@@ -220,27 +221,27 @@
 }
 
 // Guards against orders by a list that the store could not bring up to date.
-TEST_CASE("WorkerOrdering.OrdersNothingByAnOutdatedList")
+TEST_CASE("PoolAutoscaler.OrdersNothingByAnOutdatedList")
 {
     PoolWorld world(30);
     world.run(std::chrono::seconds(25));
-    const PoolCensus before = world.census();
+    const PoolEndpointCounts before = world.endpointCounts();
     world.orders = 0;
     world.isListCurrent = false;
-    for (auto &[domain, census] : world.census().domains)
-        census.preemptible.ready /= 3;
+    for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
+        endpointCounts.preemptible.ready /= 3;
     world.run(std::chrono::seconds(8));
     CHECK(world.orders == 0);
     // Entries that lapsed with the store come back a moment after it.
     world.isListCurrent = true;
     world.run(std::chrono::seconds(2));
-    world.census() = before;
+    world.endpointCounts() = before;
     world.run(std::chrono::seconds(10));
     CHECK(world.orders == 0);
 }
 
 // Guards against ordinary endpoints that go although those in their place never started.
-TEST_CASE("WorkerOrdering.KeepsOrdinaryEndpointsWhileOthersDoNotStart")
+TEST_CASE("PoolAutoscaler.KeepsOrdinaryEndpointsWhileOthersDoNotStart")
 {
     PoolWorld world(30);
     world.isBootBroken = true;
@@ -252,26 +253,26 @@
 }
 
 // Guards against a baseline taken while endpoints still register.
-TEST_CASE("WorkerOrdering.TakesTheOperatorsSizeWhenAllHaveRegistered")
+TEST_CASE("PoolAutoscaler.TakesTheOperatorsSizeWhenAllHaveRegistered")
 {
     PoolWorld world(1);
     for (int ready = 2; ready <= 30; ++ready) {
-        for (auto &[domain, census] : world.census().domains)
-            census.ordinary.ready = ready;
+        for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
+            endpointCounts.ordinary.ready = ready;
         world.run(Tick);
     }
     world.run(std::chrono::seconds(20));
-    CHECK(world.census().ready() >= 90);
+    CHECK(world.endpointCounts().ready() >= 90);
 }
 
 // Guards against a pool that shrinks to the few endpoints that registered long before the others.
-TEST_CASE("WorkerOrdering.AFewEarlyEndpointsAreNotTakenForThePool")
+TEST_CASE("PoolAutoscaler.AFewEarlyEndpointsAreNotTakenForThePool")
 {
     for (const int secondsLater : {2, 5, 12, 30}) {
         PoolWorld world(1);
         world.run(std::chrono::seconds(secondsLater));
-        for (auto &[domain, census] : world.census().domains)
-            census.ordinary.ready = 30;
+        for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
+            endpointCounts.ordinary.ready = 30;
         world.leastReady = 1000;
         world.run(std::chrono::seconds(30));
         CHECK(world.leastReady >= 90);
--- a/tests/scaling/preemptiblespread_test.cpp
+++ b/tests/scaling/preemptiblespread_test.cpp
@@ -20,7 +20,7 @@
     input.scaling.preemptiblePrice = 0.2;
     input.scaling.prices = {{A, 0.8}, {B, 1.2}, {C, 1.0}};
     for (const auto &domain : {A, B, C})
-        input.census.domains[domain].ordinary.ready = 30;
+        input.endpointCounts.domains[domain].ordinary.ready = 30;
     input.needed = 90;
     return input;
 }
@@ -29,9 +29,9 @@
 void serve(SizingInput &input, const PoolSize &size)
 {
     for (const auto &[domain, wanted] : size) {
-        input.census.domains[domain].ordinary.ready = wanted.ordinary;
-        input.census.domains[domain].preemptible.ready
-            = input.withoutPreemptible.count(domain) != 0 ? 0 : wanted.preemptible;
+        input.endpointCounts.domains[domain].ordinary.ready = wanted.ordinary;
+        input.endpointCounts.domains[domain].preemptible.ready
+            = input.preemptibleUnavailable.count(domain) != 0 ? 0 : wanted.preemptible;
     }
 }
 
@@ -93,8 +93,8 @@
     SizingInput input = threeDomains();
     const PreemptibleSpread policy({});
     settled(input, policy);
-    input.withoutPreemptible = {B};
-    input.census.domains[B].preemptible.ready = 0;
+    input.preemptibleUnavailable = {B};
+    input.endpointCounts.domains[B].preemptible.ready = 0;
     const PoolSize size = policy.decide(input);
     CHECK(size.at(B).preemptible == 0);
     CHECK(size.at(A).preemptible + size.at(C).preemptible >= input.needed);
@@ -106,9 +106,9 @@
     SizingInput input = threeDomains();
     const PreemptibleSpread policy({});
     settled(input, policy);
-    input.withoutPreemptible = {A, B, C};
-    for (auto &[domain, census] : input.census.domains)
-        census.preemptible.ready = 0;
+    input.preemptibleUnavailable = {A, B, C};
+    for (auto &[domain, endpointCounts] : input.endpointCounts.domains)
+        endpointCounts.preemptible.ready = 0;
     const PoolSize size = policy.decide(input);
     CHECK(preemptibleOf(size) == 0);
     CHECK(ordinaryOf(size) == input.needed);
@@ -130,8 +130,8 @@
 {
     SizingInput input = threeDomains();
     input.scaling.prices = {{A, 0.8}};
-    input.census.domains.erase(B);
-    input.census.domains.erase(C);
+    input.endpointCounts.domains.erase(B);
+    input.endpointCounts.domains.erase(C);
     input.needed = 30;
     const PoolSize size = PreemptibleSpread({}).decide(input);
     CHECK(size.at(A) == DomainSize{30, 0});
