--- a/include/monsoongrade/routing/admission.h
+++ b/include/monsoongrade/routing/admission.h
@@ -7,7 +7,7 @@
 
 namespace monsoongrade::routing {
 
-// Whether the configuration allows a request, and with which rights.
+// Result of checking a request against the configuration.
 struct Admission
 {
     units::ResultCode code = units::ResultCode::Ok;
@@ -16,11 +16,11 @@
     units::Tier tier;
 };
 
-// Looks up route and key. table may be null: no configuration has arrived. isFresh: the
-// configuration is provably young enough to trust its keys. Without that, all but public routes
-// are refused as "come back later", never as unknown: a missing route or key may only be missing
-// here.
-Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &facts,
+// Looks up the route and the API key of a request. table is null until a configuration has arrived.
+// isFresh: the configuration is recent enough to trust its keys. Otherwise all but public routes
+// are refused with a retryable code, never as unknown: a route or key may be missing only in this
+// host's outdated copy.
+Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &metadata,
                 std::string_view target);
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/callpacer.h
+++ b/include/monsoongrade/routing/callpacer.h
@@ -7,24 +7,24 @@
 
 namespace monsoongrade::routing {
 
-// Paces calls that each answer would make at once. A watch of the store returns with each change:
-// when a hundred endpoints register within seconds, it would be made a hundred times. The first few
-// calls go at once, so that a single change is passed on without delay; the others wait until the
-// interval allows them, and then bring all changes since.
+// Limits the rate of watch calls to the store. A watch call returns on each change, so a hundred
+// endpoints that register within seconds would cause a hundred calls. The first few calls are made
+// immediately, so that a single change is passed on without delay; later calls wait for the
+// interval and return all changes since the previous one.
 class CallPacer
 {
 public:
-    // atOnce: calls in a row without a pause. interval: between calls for good.
-    CallPacer(int atOnce, units::Duration interval)
+    // burst: consecutive calls without a delay. interval: time between calls in the long run.
+    CallPacer(int burst, units::Duration interval)
         : interval_(interval)
-        , saved_(interval * (atOnce - 1))
+        , burstAllowance_(interval * (burst - 1))
     {
     }
 
-    // Counts a call that begins at now or later; returns how long it has to wait.
+    // Registers a call that starts at now or later; returns how long it must wait.
     units::Duration delay(units::TimePoint now)
     {
-        dueAt_ = std::max(dueAt_, now - saved_);
+        dueAt_ = std::max(dueAt_, now - burstAllowance_);
         const units::Duration delay
             = std::max<units::Duration>(dueAt_ - now, units::Duration::zero());
         dueAt_ += interval_;
@@ -33,7 +33,7 @@
 
 private:
     units::Duration interval_;
-    units::Duration saved_;
+    units::Duration burstAllowance_;
     units::TimePoint dueAt_{};
 };
 
--- a/include/monsoongrade/routing/crashtracker.h
+++ b/include/monsoongrade/routing/crashtracker.h
@@ -12,47 +12,48 @@
 
 namespace monsoongrade::routing {
 
-// Remembers which requests were running when endpoints crashed, on this host and on others, and
-// quarantines a request under which several did. Every client attempt has an id of its own, so
-// without this a request that crashes engines would be sent to one after the other for as long as
-// callers repeat it, and take the requests beside it down each time.
+// Records which requests were running when endpoints crashed, on this host and on others, and
+// quarantines a request that was running in several crashes. Every client attempt has its own id,
+// so without this a request that crashes engines would be sent to one engine after another for as
+// long as callers retry it, and each crash would also fail the requests running beside it.
 //
-// A request that only happened to run beside one that crashes engines is completed by a later
-// attempt, which clears it. One that was answered within the last minute is not counted at all:
-// many callers may send the same request, and the loss of some endpoints at once must not put it in
-// quarantine, where no attempt could clear it. A connection that broke for another reason counts
-// until its endpoint answers something.
+// A request that merely ran beside one that crashes engines is completed by a later attempt, which
+// clears it. A request that was completed within the last minute is not counted at all: many
+// callers may send the same request, and the simultaneous loss of several endpoints must not
+// quarantine it, since no attempt could clear it then. A connection that broke for another reason
+// counts until its endpoint responds to something.
 class CrashTracker
 {
 public:
-    // Crashes of different endpoints after which a request is quarantined.
+    // Number of different crashed endpoints after which a request is quarantined.
     static constexpr std::size_t CrashesToQuarantine = 3;
 
-    // The endpoint crashed while it ran the request for this host.
+    // The endpoint crashed while running the request for this host.
     void onCrash(const RequestIdentity &request, const EndpointInstance &endpoint,
                  units::TimePoint now);
-    // The request was answered whole at this host.
+    // The request received a complete response on this host.
     void onCompleted(const RequestIdentity &request, units::TimePoint now);
-    // The endpoint answered this host something that was sent at this time.
+    // The endpoint responded to something that this host sent at sentAt.
     void onAnswered(const EndpointInstance &endpoint, units::TimePoint sentAt);
-    // Another host's news. It may come repeatedly and in any order.
-    void receive(const CrashUpdate &news, units::TimePoint now);
+    // Applies an update from another host. Updates may arrive repeatedly and in any order.
+    void receive(const CrashUpdate &update, units::TimePoint now);
 
-    // Time until the request may run again; none if it is not in quarantine. The time doubles with
-    // each further crash.
+    // Time until the request may run again; empty if it is not quarantined. Doubles with each
+    // further crash.
     std::optional<units::Duration> quarantineRemaining(const RequestIdentity &request,
                                                        units::TimePoint now) const;
     std::size_t quarantinedCount(units::TimePoint now) const;
-    // Quarantined requests under which an endpoint crashed at this host.
+    // Quarantined requests for which this host observed a crash.
     std::vector<RequestIdentity> locallyQuarantined(units::TimePoint now) const;
     std::vector<CrashUpdate> crashesOf(const RequestIdentity &request, units::TimePoint now) const;
-    // Requests that are known to have been running when an endpoint crashed.
+    // Number of requests known to have been running when an endpoint crashed.
     std::size_t size() const { return records_.size(); }
 
-    // What to tell other hosts in this round, in one message: what is new, some rounds long, since
-    // messages may be lost; beside it one quarantined request in turn, for hosts that were away.
+    // Updates for one message of this gossip round: recent changes, repeated for several rounds
+    // because messages may be lost, and the crashes of one quarantined request per round, in
+    // rotation, for hosts that were disconnected.
     std::vector<CrashUpdate> takeUpdates(std::size_t maxItems, units::TimePoint now);
-    // All crashes of quarantined requests, up to a number, for a host that has just started.
+    // Crashes of all quarantined requests, at most maxItems, for a host that has just started.
     std::vector<CrashUpdate> quarantineNews(std::size_t maxItems, units::TimePoint now) const;
 
 private:
@@ -61,46 +62,46 @@
         EndpointInstance endpoint;
         units::TimePoint at;
     };
-    // An endpoint that is in some record.
-    struct Suspect
+    // An endpoint that is listed in some record.
+    struct SuspectedEndpoint
     {
-        units::TimePoint brokeAt; // latest
-        std::optional<units::TimePoint> answeredAt; // when the answered request was sent
+        units::TimePoint lastCrashAt;
+        std::optional<units::TimePoint> knownAliveAt; // send time of a request that it answered
     };
     struct Record
     {
-        std::vector<Crash> crashes; // by time
+        std::vector<Crash> crashes; // ordered by time
         std::optional<units::TimePoint> completedAt;
         units::TimePoint changedAt;
-        bool wasSeenHere = false;
+        bool isLocallyObserved = false;
     };
     using Records = std::map<RequestIdentity, Record>;
-    struct Telling
+    struct PendingUpdate
     {
-        CrashUpdate news;
+        CrashUpdate update;
         units::TimePoint at;
         int roundsLeft = 0;
     };
 
     static std::optional<units::TimePoint> quarantineEnd(const Record &record);
     static bool isQuarantined(const Record &record, units::TimePoint now);
-    static void appendCrashes(const Records::value_type &record, std::vector<CrashUpdate> &news,
+    static void appendCrashes(const Records::value_type &record, std::vector<CrashUpdate> &updates,
                               units::TimePoint now);
-    bool isCleared(const CrashUpdate &crash, units::TimePoint at, units::TimePoint now);
-    bool learn(const CrashUpdate &news, units::TimePoint at, units::TimePoint now);
-    bool addCrash(const CrashUpdate &news, units::TimePoint at, units::TimePoint now);
-    bool acquit(const EndpointInstance &endpoint, units::TimePoint sentAt);
-    bool complete(const RequestIdentity &request, units::TimePoint at);
-    void tellLater(const CrashUpdate &news, units::TimePoint at);
-    void makeRoom(units::TimePoint now);
-    void forgetOld(units::TimePoint now);
+    bool clearIfCompleted(const CrashUpdate &crash, units::TimePoint at, units::TimePoint now);
+    bool apply(const CrashUpdate &update, units::TimePoint at, units::TimePoint now);
+    bool addCrash(const CrashUpdate &update, units::TimePoint at, units::TimePoint now);
+    bool clearEndpoint(const EndpointInstance &endpoint, units::TimePoint sentAt);
+    bool clearRequest(const RequestIdentity &request, units::TimePoint at);
+    void enqueue(const CrashUpdate &update, units::TimePoint at);
+    void evictIfFull(units::TimePoint now);
+    void removeOutdated(units::TimePoint now);
 
     Records records_;
-    std::map<EndpointInstance, Suspect> suspects_;
+    std::map<EndpointInstance, SuspectedEndpoint> suspects_;
     RecentCompletions completions_;
-    std::deque<Telling> fresh_;
-    RequestIdentity lastRepeated_;
-    units::TimePoint nextCleaning_{};
+    std::deque<PendingUpdate> pending_;
+    RequestIdentity lastResent_;
+    units::TimePoint nextCleanupAt_{};
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/crashupdate.h
+++ b/include/monsoongrade/routing/crashupdate.h
@@ -9,19 +9,19 @@
 
 namespace monsoongrade::routing {
 
-// What hosts tell each other of a request under which an endpoint crashed.
+// Gossip item about a request that was running when an endpoint crashed.
 struct CrashUpdate
 {
     enum class Kind : std::uint8_t {
-        Crashed, // the endpoint crashed while it ran the request
-        Completed, // the request was answered whole, so it is not what crashes endpoints
-        EndpointAnswered, // the endpoint answered something sent later, so it had not crashed
+        Crashed, // the endpoint crashed while running the request
+        Completed, // the request received a complete response, so it does not crash endpoints
+        EndpointAnswered, // the endpoint answered a later request, so it had not crashed
     };
 
     Kind kind = Kind::Crashed;
-    RequestIdentity request; // not of EndpointAnswered
-    EndpointInstance endpoint; // not of Completed
-    units::Duration age{}; // since it happened; of EndpointAnswered: since it was sent
+    RequestIdentity request; // unset for EndpointAnswered
+    EndpointInstance endpoint; // unset for Completed
+    units::Duration age{}; // since the event; for EndpointAnswered, since the request was sent
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/discoveredendpoint.h
+++ b/include/monsoongrade/routing/discoveredendpoint.h
@@ -9,21 +9,21 @@
 
 namespace monsoongrade::routing {
 
-// One start of an endpoint process, in milliseconds of the wall clock of its host. Only compared
-// for equality: a restarted endpoint has forgotten what the one before it held.
+// Identifies one run of an endpoint process by its start time, in milliseconds of its host's wall
+// clock. Compared only for equality: a restarted process has lost the state of the previous one.
 using Incarnation = units::StrongNumber<struct IncarnationTag, std::int64_t>;
 
-// An endpoint as it describes itself in the platform's store.
+// An endpoint's own entry in the platform's store.
 struct DiscoveredEndpoint
 {
     units::EndpointId id;
     Incarnation incarnation;
     units::PoolName pool;
-    std::string address; // IP:PORT; reused by other endpoints some seconds after this one ends
+    std::string address; // IP:PORT; may be reused by another endpoint seconds after this one ends
     units::FailureDomain failureDomain;
-    int slots = 1; // requests that it works on at once
+    int slots = 1; // maximum number of concurrent requests
     bool draining = false;
-    // Cheaper, and the platform may take it away at short notice.
+    // Runs on cheaper capacity that the platform may reclaim at short notice.
     bool preemptible = false;
 };
 
--- a/include/monsoongrade/routing/endpointinstance.h
+++ b/include/monsoongrade/routing/endpointinstance.h
@@ -5,7 +5,7 @@
 
 namespace monsoongrade::routing {
 
-// One run of an endpoint's process.
+// One run of an endpoint process.
 struct EndpointInstance
 {
     units::EndpointId id;
--- a/include/monsoongrade/routing/endpointloads.h
+++ b/include/monsoongrade/routing/endpointloads.h
@@ -7,27 +7,27 @@
 
 namespace monsoongrade::routing {
 
-// What one host has placed on an endpoint and is not over yet.
+// Unfinished work that one host has placed on an endpoint.
 struct EndpointLoad
 {
     int openRequests = 0;
-    int streams = 0; // of the open requests, those that have had their first event
-    std::int64_t tokensToRead = 0; // of the others
-    units::TimePoint lastResultAt{}; // a first event or whole response
+    int streams = 0; // open requests that have received their first event
+    std::int64_t tokensToRead = 0; // unprocessed prompt tokens of the others
+    units::TimePoint lastResultAt{}; // last first event or complete response
 };
 
-// Counts the open requests and unread tokens of each endpoint.
+// Counts the open requests and unprocessed prompt tokens of each endpoint.
 class EndpointLoads
 {
 public:
-    // Nothing, if the endpoint has no open request.
+    // All zero if the endpoint has no open request.
     EndpointLoad of(const EndpointStatus &endpoint) const;
     void add(const EndpointStatus &endpoint, std::int64_t tokensToRead);
-    // The endpoint has read these tokens, or is not believed to read them any more.
+    // The endpoint has processed these tokens, or is no longer expected to process them.
     void removeTokens(const EndpointStatus &endpoint, std::int64_t tokens);
     void addStream(const EndpointStatus &endpoint);
     void addResult(const EndpointStatus &endpoint, units::TimePoint now);
-    // A request is over. isStream: addStream() was called for it.
+    // A request has ended. isStream: addStream() was called for it.
     void end(const EndpointStatus &endpoint, std::int64_t tokensToRead, bool isStream);
 
 private:
--- a/include/monsoongrade/routing/endpointratelimiter.h
+++ b/include/monsoongrade/routing/endpointratelimiter.h
@@ -7,31 +7,31 @@
 
 namespace monsoongrade::routing {
 
-// Spaces out what one host places on an endpoint that has named a limit. The host uses a share of
-// the limit: all of it where it places for all hosts, an equal part where each places for itself.
-// Hosts with a part take turns, and a turn that is not used is lost: parts that were saved up would
-// be used at the same moment, as when the host that places for all is lost.
+// Limits the rate at which one host places requests on an endpoint that has announced a rate limit.
+// The host uses a share of the limit: all of it if it places requests for all hosts, an equal part
+// if each host places its own. In the second case the hosts take turns, and an unused turn expires:
+// saved-up turns of all hosts would be used at the same moment, as when the coordinator is lost.
 class EndpointRateLimiter
 {
 public:
-    // The endpoint's latest word; none: no limit. phase: 0 to 1, spread evenly over the hosts, so
-    // that those which learn of the limit together do not all send at one moment later. Returns
-    // whether the limit changed.
+    // Sets the latest limit that the endpoint announced, or none. phase: from 0 to 1, spread evenly
+    // over the hosts, so that hosts that learn of the limit together do not all send at the same
+    // time. Returns whether the limit changed.
     bool setLimit(std::optional<RequestsPerSecond> limit, double phase, units::TimePoint now);
     const std::optional<RequestsPerSecond> &limit() const { return limit_; }
 
-    // Whether the host may place another request there, with this share of the limit.
+    // Whether the host may place another request, given its share of the limit.
     bool allows(double share, units::TimePoint now) const;
     void onPlaced(double share, units::TimePoint now);
 
 private:
     bool isOwnTurn(double share, units::TimePoint now) const;
-    double debtAt(double share, units::TimePoint now) const;
+    double levelAt(double share, units::TimePoint now) const;
 
     std::optional<RequestsPerSecond> limit_;
-    // Requests placed that the limit has not yet made up for.
-    double debt_ = 0;
-    units::TimePoint debtSince_{};
+    // Leaky bucket: requests placed and not yet drained at the rate of the limit.
+    double level_ = 0;
+    units::TimePoint levelUpdatedAt_{};
     units::TimePoint limitedSince_{};
     double phase_ = 0;
 };
--- a/include/monsoongrade/routing/endpointregistry.h
+++ b/include/monsoongrade/routing/endpointregistry.h
@@ -15,69 +15,70 @@
 
 namespace monsoongrade::routing {
 
-// The endpoints that requests may go to, as the platform's store lists them. Knows nothing of
-// how the list is read.
+// The endpoints that can receive requests, as listed in the platform's store. Independent of how
+// the list is read.
 class EndpointRegistry
 {
 public:
     using Status = std::shared_ptr<EndpointStatus>;
-    // Called when an endpoint stops taking new requests, so that idle connections can be closed.
+    // Called when an endpoint stops accepting new requests, so that idle connections can be closed.
     using OnLeaving = std::function<void(const EndpointStatus &)>;
 
     explicit EndpointRegistry(OnLeaving onLeaving = {});
 
-    // The whole list, read just now. An endpoint that is not in it is gone. While entries may be
-    // missing only because the store was away, missing ones are kept until keepMissingUntil.
+    // Replaces all entries by a complete list that was just read. Endpoints that are not in it are
+    // removed. If entries may be missing only because of a store outage, missing ones are kept
+    // until keepMissingUntil.
     void replaceAll(const std::vector<DiscoveredEndpoint> &listed, units::TimePoint now,
                     units::TimePoint keepMissingUntil);
-    // One entry was written.
+    // One entry was created or changed in the store.
     void update(const DiscoveredEndpoint &endpoint);
-    // One entry was removed.
+    // One entry was removed from the store.
     void remove(const units::EndpointId &id, units::TimePoint now,
                 units::TimePoint keepMissingUntil);
-    // Drops the kept entries whose time is over.
+    // Removes the missing entries whose retention time has expired.
     void removeExpired(units::TimePoint now);
 
-    // From now on only the endpoints of this cell are available.
+    // From now on only the endpoints of ownCell are available.
     void setDivision(FleetDivision division, std::uint32_t ownCell);
     const FleetDivision &division() const { return division_; }
 
-    // Endpoints of the pool that take new requests by the store's word and belong to this host's
-    // cell, in the order of their ids. Valid until the next change of the registry.
+    // Endpoints of the pool that accept new requests according to the store and belong to this
+    // host's cell, ordered by id. Valid until the registry changes.
     const std::vector<Status> &available(const units::PoolName &pool) const;
-    // Null if no such endpoint is available.
+    // Null if the endpoint is not available.
     Status findAvailable(const units::EndpointId &id) const;
-    // All of the pool's endpoints that are listed, leaving ones too.
+    // All listed endpoints of the pool, including leaving ones.
     std::vector<DiscoveredEndpoint> listed(const units::PoolName &pool) const;
-    // Null if this process of the endpoint is not listed.
+    // Null if this instance of the endpoint is not listed.
     Status find(const EndpointInstance &endpoint) const;
     std::size_t size() const { return entries_.size(); }
-    // Listed endpoints of each pool that has any.
+    // Number of listed endpoints of each pool that has any.
     const std::map<std::string, std::size_t> &sizes() const { return sizes_; }
-    // Counts the endpoints that changes of single ones have looked at.
+    // Counts the endpoints examined by changes of single entries.
     const units::WorkCount &work() const { return work_; }
 
 private:
     struct Entry
     {
         Status status;
-        units::TimePoint keepUntil; // of a missing one
+        units::TimePoint keepUntil; // set for missing entries
     };
 
-    void leave(Entry &entry);
-    void miss(const std::string &id, Entry &entry, units::TimePoint now,
-              units::TimePoint keepMissingUntil);
-    std::vector<Status>::iterator placeIn(std::vector<Status> &available,
-                                          const units::EndpointId &id);
+    void markLeaving(Entry &entry);
+    void markMissing(const std::string &id, Entry &entry, units::TimePoint now,
+                     units::TimePoint keepMissingUntil);
+    std::vector<Status>::iterator positionIn(std::vector<Status> &available,
+                                             const units::EndpointId &id);
     bool isInOwnCell(const EndpointStatus &status) const;
-    void countIn(const units::PoolName &pool);
-    void countOut(const units::PoolName &pool);
+    void incrementSize(const units::PoolName &pool);
+    void decrementSize(const units::PoolName &pool);
     void addAvailable(const Status &status);
     void removeAvailable(const Status &status);
 
     OnLeaving onLeaving_;
     std::map<std::string, Entry> entries_; // by endpoint id
-    std::set<std::string> missing_; // ids of entries that are kept for a while
+    std::set<std::string> missing_; // ids of missing entries that are still kept
     std::map<std::string, std::vector<Status>> available_; // by pool
     std::map<std::string, std::size_t> sizes_; // by pool
     FleetDivision division_;
--- a/include/monsoongrade/routing/endpointstatus.h
+++ b/include/monsoongrade/routing/endpointstatus.h
@@ -7,16 +7,17 @@
 
 namespace monsoongrade::routing {
 
-// What this host knows of one endpoint. Shared by the requests that use it; it outlives its entry
-// in the registry until the last of them ends.
+// State that this host keeps for one endpoint. Shared by the requests that use it; it outlives its
+// entry in the registry until the last of them ends.
 struct EndpointStatus
 {
     DiscoveredEndpoint registration;
     EndpointHealth health;
-    EndpointRateLimiter rateLimiter; // of what this host places there
-    // Takes no new request: it is leaving, gone from the store, or another process has its address.
+    EndpointRateLimiter rateLimiter; // for the requests that this host places
+    // Accepts no new requests: it is draining, was removed from the store, or another process has
+    // its address.
     bool leaving = false;
-    // When this host last received anything from it.
+    // When this host last received data from it.
     units::TimePoint lastReceivedAt{};
 };
 
--- a/include/monsoongrade/routing/failuredecision.h
+++ b/include/monsoongrade/routing/failuredecision.h
@@ -5,32 +5,32 @@
 
 namespace monsoongrade::routing {
 
-// What is known when one attempt at an endpoint has ended without a response for the client.
+// State of a request after an attempt at an endpoint ended without a response for the client.
 struct AttemptFailure
 {
-    // Some attempt of this request, this one included, may have begun to run at an endpoint. False
-    // only if each one was never sent or the endpoint itself said that it did not run it.
+    // Any attempt of this request, including this one, may have started to run at an endpoint.
+    // False only if each attempt was never sent or the endpoint reported that it did not run it.
     bool mayHaveRun = false;
-    bool mayRunTwice = false; // idempotent, or a stream that may resume
-    bool responseBegun = false; // the client already has the head of a response
-    int sends = 0; // endpoints that have had the request
+    bool mayRunTwice = false; // idempotent, or a stream that can be resumed
+    bool responseBegun = false; // the response headers were already sent to the client
+    int sends = 0; // number of endpoints that received the request
     int maxAttempts = 1;
-    bool timedOut = false; // the time for the request is over
-    bool hasAlternativeEndpoint = false; // another endpoint is there to take the request
-    bool isQuarantined = false; // endpoints crashed while they ran it, see CrashTracker
+    bool timedOut = false; // the deadline of the request has passed
+    bool hasAlternativeEndpoint = false; // another endpoint can take the request
+    bool isQuarantined = false; // endpoints crashed while running it, see CrashTracker
     bool hasRetryBudget = false; // the shared retry budget allows one more send
 };
 
 enum class NextStep {
     SendAgain,
-    RefuseNotRun, // "did not run and never will": the client may repeat it
-    RespondOutcomeUnknown, // may have run
-    RespondTimeout, // may have run, and the time is over
-    AbortResponse, // the response has begun and can't be completed
+    RefuseNotRun, // reports that the request did not run and will not: the client may retry
+    RespondOutcomeUnknown, // the request may have run
+    RespondTimeout, // the request may have run, and its deadline has passed
+    AbortResponse, // the response has started and cannot be completed
 };
 
-// Decides what follows a failed attempt. Only proof that nothing ran permits a refusal that says
-// so, or a second send of a request that must not run twice.
+// Decides what to do after a failed attempt. Reporting that the request did not run, or sending a
+// request again that must not run twice, requires proof that no attempt ran.
 NextStep decideAfterFailure(const AttemptFailure &failure);
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/fleetdivision.h
+++ b/include/monsoongrade/routing/fleetdivision.h
@@ -10,30 +10,32 @@
 
 namespace monsoongrade::routing {
 
-// The cells of a fleet. A host uses, and the placing host of its cell decides over, the endpoints
-// of its own cell only. So what one host holds and what one placing costs do not grow with the
-// fleet. Only large pools are divided; of the others each host uses all endpoints.
+// Division of a fleet into cells. A host uses only the endpoints of its own cell, and the placement
+// coordinator of a cell places requests only on them, so the state of a host and the cost of one
+// placement do not grow with the fleet. Only large pools are divided; in the others each host uses
+// all endpoints.
 //
-// Hosts and endpoints belong to cells by hash, over all failure domains: the loss of a domain takes
-// an equal part of each cell, and callers that move to other hosts spread over all cells.
+// Hosts and endpoints are assigned to cells by hash, across all failure domains: the loss of a
+// domain removes an equal part of each cell, and callers that move to other hosts spread over all
+// cells.
 class FleetDivision
 {
 public:
-    // One cell.
+    // A single cell.
     FleetDivision() = default;
-    // Cells of the pools named; cells is 1 or more.
+    // Divides these pools into cells; cells is 1 or more.
     FleetDivision(std::uint32_t cells, std::set<std::string> pools);
 
     std::uint32_t cells() const { return cells_; }
     // Names of the pools that are divided.
     const std::set<std::string> &pools() const { return pools_; }
-    // The cell of the host, from 0.
+    // Cell of the host, counted from 0.
     std::uint32_t cellOf(const std::string &hostIp) const;
     bool isDivided(const units::PoolName &pool) const;
-    // True if hosts of the cell use the endpoint.
+    // Whether hosts of the cell use the endpoint.
     bool isUsedIn(std::uint32_t cell, const units::PoolName &pool,
                   const units::EndpointId &endpoint) const;
-    // Equal for equal divisions on all hosts.
+    // The same on all hosts for equal divisions.
     std::uint64_t fingerprint() const;
 
     friend bool operator==(const FleetDivision &a, const FleetDivision &b)
@@ -47,10 +49,10 @@
     std::set<std::string> pools_;
 };
 
-// The division for pools of these sizes. present is kept while its cells are neither too large nor
-// much too small, so that it does not change with each endpoint.
+// Division for pools of these sizes. Keeps the current one while its cells are neither too large
+// nor much too small, so that it does not change with each endpoint.
 FleetDivision divideFleet(const std::map<std::string, std::size_t> &endpointsByPool,
-                          const FleetDivision &present);
+                          const FleetDivision &current);
 
 } // namespace monsoongrade::routing
 
--- a/include/monsoongrade/routing/freshnesslease.h
+++ b/include/monsoongrade/routing/freshnesslease.h
@@ -7,35 +7,36 @@
 
 namespace monsoongrade::routing {
 
-// How long the configuration may be used without news from the store. A key that was revoked
-// meanwhile would else stay valid on a host that is cut off from the store; past the bound the
-// host refuses requests with keys. The clock must count time in suspension.
+// Limits how long the configuration may be used without contact with the store. Otherwise a key
+// that was revoked in the meantime would stay valid on a host that is cut off from the store; after
+// the limit the host refuses requests with keys. The clock must include time in system suspend.
 class FreshnessLease
 {
 public:
-    // bound: time after which a revoked key must not work. margin: see below.
+    // bound: time after which a revoked key must no longer work. margin: part of it that the lease
+    // leaves unused.
     FreshnessLease(units::Duration bound, units::Duration margin)
-        : usable_(bound - margin)
+        : duration_(bound - margin)
     {
     }
 
-    // The store has shown that no change before this moment is missing here.
+    // The store has confirmed that no change made before this time is missing here.
     void renew(units::TimePoint at)
     {
-        provenAt_ = isProven_ ? std::max(provenAt_, at) : at;
-        isProven_ = true;
+        renewedAt_ = isRenewed_ ? std::max(renewedAt_, at) : at;
+        isRenewed_ = true;
     }
 
-    bool isFresh(units::TimePoint now) const { return isProven_ && now - provenAt_ < usable_; }
+    bool isFresh(units::TimePoint now) const { return isRenewed_ && now - renewedAt_ < duration_; }
     units::Duration age(units::TimePoint now) const
     {
-        return isProven_ ? now - provenAt_ : units::Duration::max();
+        return isRenewed_ ? now - renewedAt_ : units::Duration::max();
     }
 
 private:
-    units::Duration usable_;
-    units::TimePoint provenAt_{};
-    bool isProven_ = false;
+    units::Duration duration_;
+    units::TimePoint renewedAt_{};
+    bool isRenewed_ = false;
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/gossipplanner.h
+++ b/include/monsoongrade/routing/gossipplanner.h
@@ -10,12 +10,12 @@
 
 namespace monsoongrade::routing {
 
-// Decides whom this host tells what in each round of gossip. Messages per round and hosts described
-// in one do not grow with the fleet.
+// Chooses the recipients and the content of this host's messages in each gossip round. Neither the
+// messages per round nor the hosts described in a message grow with the fleet.
 //
-// In a small fleet a message tells of as many hosts as it holds, and a host whose news grow old
-// counts as lost. In a large one the hosts watch each other, see PeerFailureDetector, and a message
-// tells of changes first.
+// In a small fleet a message describes as many hosts as fit, and a host without recent updates
+// counts as lost. In a large fleet hosts monitor each other, see PeerFailureDetector, and a message
+// describes changes first.
 class GossipPlanner
 {
 public:
@@ -27,22 +27,25 @@
         std::vector<PeerUpdate> news;
         std::vector<std::string> probeTargets;
     };
-    // What to send now. Hosts that have answered no probe are noted as lost in the table.
+    // Plans the round that starts now. Marks hosts that answered no probe as lost in the table.
     Round next(PeerTable &table, units::TimePoint now);
-    // A message of the host itself arrived just now.
-    void onHeartbeat(const std::string &ip, units::TimePoint now) { watch_.onHeartbeat(ip, now); }
-    // What a host is told that has just started: who reads the store for others, and some hosts.
+    // A message from the host itself has just arrived.
+    void onHeartbeat(const std::string &ip, units::TimePoint now)
+    {
+        detector_.onHeartbeat(ip, now);
+    }
+    // Hosts to report to a host that has just started: the store readers, and some others.
     std::vector<PeerUpdate> newsForJoiningHost(const PeerTable &table, units::TimePoint now);
 
 private:
     std::vector<std::string> recipients(const PeerTable &table, units::TimePoint now);
-    std::vector<PeerUpdate> news(PeerTable &table, units::TimePoint now);
-    std::vector<std::string> watch(PeerTable &table, units::TimePoint now);
+    std::vector<PeerUpdate> updatesToSend(PeerTable &table, units::TimePoint now);
+    std::vector<std::string> monitorPeers(PeerTable &table, units::TimePoint now);
 
     std::string ownIp_;
-    PeerFailureDetector watch_;
-    std::vector<std::string> watchers_; // of this host
-    std::size_t silent_ = 0; // watched hosts whose heartbeats are missed
+    PeerFailureDetector detector_;
+    std::vector<std::string> watchers_; // hosts that monitor this one
+    std::size_t silentCount_ = 0; // monitored hosts with missed heartbeats
     std::minstd_rand random_;
 };
 
--- a/include/monsoongrade/routing/peerfailuredetector.h
+++ b/include/monsoongrade/routing/peerfailuredetector.h
@@ -9,38 +9,38 @@
 
 namespace monsoongrade::routing {
 
-// Hosts around this one in the order of a hash of their IPs, which closes to a ring.
+// Hosts next to this one on a ring ordered by a hash of their IPs.
 struct RingNeighbours
 {
-    std::vector<std::string> watchers; // those that come next; they watch this host
-    std::vector<std::string> watched; // those before it; this host watches them
+    std::vector<std::string> watchers; // the next ones; they monitor this host
+    std::vector<std::string> watched; // the previous ones; this host monitors them
 };
 
-// live: IPs of the other hosts that run. Finds at most so many neighbours on each side.
+// live: IPs of the other running hosts. Finds the nearest ones in both directions.
 RingNeighbours ringNeighbours(const std::string &ownIp, const std::vector<std::string> &live,
                               std::size_t maxWatchers, std::size_t maxWatched);
 
-// Tells which of the hosts that this one watches are lost. In a large fleet news of most hosts
-// comes through others and is seconds old, so that its age says nothing about a host; here a few
-// hosts expect each host's heartbeats, and declare it lost when they stop.
+// Detects which of the hosts that this one monitors are lost. In a large fleet, updates of most
+// hosts come through others and are seconds old, so their age says nothing about a host. Instead, a
+// few hosts expect the heartbeats of each host and declare it lost when they stop.
 class PeerFailureDetector
 {
 public:
-    struct Judgement
+    struct Result
     {
-        std::vector<std::string> probeTargets; // have missed heartbeats
-        std::vector<std::string> lost; // have not answered probes either
+        std::vector<std::string> probeTargets; // hosts with missed heartbeats
+        std::vector<std::string> lost; // hosts that did not answer probes either
     };
 
-    // A message of the host itself arrived just now.
+    // A message from the host itself has just arrived.
     void onHeartbeat(const std::string &ip, units::TimePoint now);
-    // Called each round. The time of a host begins when it is first watched, and that of all begins
-    // anew if this process has been suspended.
-    Judgement judge(const std::vector<std::string> &watched, units::TimePoint now);
+    // Called in each round. The timeout of a host starts when it is first monitored; all timeouts
+    // restart if this process was suspended.
+    Result check(const std::vector<std::string> &watched, units::TimePoint now);
 
 private:
-    std::map<std::string, units::TimePoint> lastHeartbeatAt_; // of watched hosts, or when it began
-    units::TimePoint lastJudgedAt_{};
+    std::map<std::string, units::TimePoint> lastHeartbeatAt_; // or the start of monitoring
+    units::TimePoint lastCheckAt_{};
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/peertable.h
+++ b/include/monsoongrade/routing/peertable.h
@@ -13,77 +13,75 @@
 namespace monsoongrade::routing {
 
 enum class PeerState : std::uint8_t {
-    Serving, // takes requests
-    NotReady, // runs, but has no usable configuration
-    Leaving, // stops soon
-    Lost, // declared by a host that watches it; never said by a host of itself
+    Serving, // accepts requests
+    NotReady, // runs without a usable configuration
+    Leaving, // will stop soon
+    Lost, // declared by a host that monitors it; no host reports this of itself
 };
 
-// What one host says of itself, with the age that the news has here.
+// State that a host reports of itself, with the age of the report.
 struct PeerUpdate
 {
     std::string ip;
     units::FailureDomain failureDomain;
     PeerState state = PeerState::NotReady;
-    units::Duration age{}; // since the host itself said it
-    units::Duration uptime{}; // of its process, when it said it
-    units::Duration
-        storeReachableFor{}; // how long it has had the store without a break, when it said it
-    int millicores = 0; // thousandths of a processor core that it may use
-    // The store turned it away a moment ago, though other hosts have the store.
+    units::Duration age{}; // since the host itself sent it
+    units::Duration uptime{}; // of its process, at the time of the report
+    units::Duration storeReachableFor{}; // without interruption, at the time of the report
+    int millicores = 0; // thousandths of a processor core available to it
+    // The store refused it a moment ago, although other hosts can reach the store.
     bool isStoreRefused = false;
     // Fencing token of the duties' lease while the host holds it; 0 otherwise.
     std::uint64_t dutyToken = 0;
 };
 
-// The other hosts, learned from each other: each tells some others what it knows with its age.
-// Decides nothing by wall clocks, only by ages on this host's clock, and in a large fleet by the
-// uptimes that hosts tell of themselves, which are passed on unchanged.
+// The other hosts, as learned by gossip: each host sends what it knows, with its age, to some
+// others. Uses no wall clocks, only ages on this host's clock and, in a large fleet, the uptimes
+// that hosts report of themselves, which are passed on unchanged.
 class PeerTable
 {
 public:
-    // Adds addresses that may be hosts, from the settings. They count as hosts once they speak.
+    // Adds an address from the settings that may be a host. It counts as one once reported.
     void addSeed(const std::string &ip);
-    // News that arrived just now. Older news than what is known changes nothing.
-    void receive(const PeerUpdate &news, units::TimePoint now);
-    // The other host, which this one watches, has sent no heartbeat and answered no probe.
+    // Merges an update that has just arrived. Ignored if older than the known state.
+    void receive(const PeerUpdate &update, units::TimePoint now);
+    // The host, which this one monitors, has sent no heartbeat and answered no probe.
     void markLost(const std::string &ip, units::TimePoint now);
 
-    // So many hosts have been heard of that the age of news does not tell whether a host runs:
-    // hosts then watch each other, and one runs until another one takes it for lost.
+    // So many hosts are known that the age of updates does not show whether a host runs: hosts then
+    // monitor each other, and a host counts as running until another one declares it lost.
     bool isLarge() const;
-    // Changes that this host shall pass on, at most so many, those first that were told least
-    // often.
-    std::vector<PeerUpdate> takeChanges(std::size_t most, units::TimePoint now,
+    // Changes to pass on to other hosts, those sent least often first.
+    std::vector<PeerUpdate> takeChanges(std::size_t maxItems, units::TimePoint now,
                                         std::minstd_rand &random);
-    // News of some live hosts, other ones each time.
-    std::vector<PeerUpdate> sample(std::size_t most, units::TimePoint now,
+    // Updates about randomly selected live hosts.
+    std::vector<PeerUpdate> sample(std::size_t maxItems, units::TimePoint now,
                                    std::minstd_rand &random) const;
 
-    // True if the host was heard of recently enough to be taken for running.
+    // Whether the last update of the host is recent enough for it to count as running.
     bool isLive(const std::string &ip, units::TimePoint now) const;
-    // Hosts heard of recently enough to be taken for running, this host not included.
+    // Hosts with updates recent enough to count as running, without this host.
     std::vector<PeerUpdate> live(units::TimePoint now) const;
     std::vector<std::string> liveIps(units::TimePoint now) const;
-    // Addresses to tell the own state to: live hosts first, and seeds and lost hosts so that two
-    // groups that lost each other meet again.
+    // Addresses to send this host's state to: live hosts, and also seeds and lost hosts, so that
+    // two parts of a partitioned fleet find each other again.
     std::vector<std::string> recipients(units::TimePoint now) const;
 
 private:
     struct Entry
     {
-        PeerUpdate news;
-        units::TimePoint saidAt;
-        bool hasSpoken = false;
-        int transmitsLeft = 0; // rounds in which its change is still to be told
+        PeerUpdate update;
+        units::TimePoint reportedAt;
+        bool hasReport = false;
+        int transmitsLeft = 0; // rounds in which its change is still to be sent
     };
 
     bool isLive(const Entry &entry, units::TimePoint now) const;
-    bool isNewer(const PeerUpdate &news, const Entry &known, units::TimePoint now) const;
+    bool isNewer(const PeerUpdate &update, const Entry &known, units::TimePoint now) const;
     PeerUpdate updateFor(const Entry &entry, units::TimePoint now) const;
 
     std::map<std::string, Entry> entries_; // by ip
-    std::size_t spoken_ = 0; // entries that have spoken
+    std::size_t reportedHosts_ = 0; // entries with a report
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/ratelimittable.h
+++ b/include/monsoongrade/routing/ratelimittable.h
@@ -9,21 +9,21 @@
 
 namespace monsoongrade::routing {
 
-// The latest limits that endpoints have named to any host, and what of them is to be told. A host
-// that places requests sees only the answers to its own callers, so it may never hear from the
-// endpoint itself.
+// The latest rate limits that endpoints have announced to any host, and the updates about them to
+// send to other hosts. A host that places requests sees only the responses to its own callers, so
+// it may never get a response from the endpoint itself.
 class RateLimitTable
 {
 public:
-    // An answer, here or at another host, named this limit or none. False if a later answer is
-    // known, or if the endpoint has had no limit all along.
+    // A response to this or another host announced this limit or none. Returns false if a later
+    // response is known, or if the endpoint had no limit before and has none now.
     bool update(const EndpointInstance &endpoint, std::optional<RequestsPerSecond> limit,
                 units::TimePoint at);
-    // What to tell other hosts in this round: changes, some rounds long, and limits in force now
-    // and then, for hosts that were away.
+    // Updates for this gossip round: changes, repeated for several rounds, and at intervals the
+    // limits in force, for hosts that were disconnected.
     std::vector<RateLimitUpdate> takeUpdates(std::size_t maxItems, units::TimePoint now);
 
-    // Endpoints that have a limit now.
+    // Number of endpoints that currently have a limit.
     std::size_t limited() const;
     std::size_t size() const { return entries_.size(); }
 
@@ -31,9 +31,9 @@
     struct Entry
     {
         std::optional<RequestsPerSecond> limit;
-        units::TimePoint heardAt;
+        units::TimePoint announcedAt;
         int roundsLeft = 0;
-        units::TimePoint toldAt;
+        units::TimePoint lastSentAt;
     };
 
     std::map<EndpointInstance, Entry> entries_;
--- a/include/monsoongrade/routing/ratelimitupdate.h
+++ b/include/monsoongrade/routing/ratelimitupdate.h
@@ -10,13 +10,13 @@
 
 using RequestsPerSecond = double;
 
-// What hosts tell each other of the limits that endpoints name in their answers.
+// Gossip item about the rate limit that an endpoint announced in a response.
 struct RateLimitUpdate
 {
     EndpointInstance endpoint;
-    // Taken from all hosts together; none: the endpoint answered without a limit.
+    // For the requests of all hosts together; empty if the response announced no limit.
     std::optional<RequestsPerSecond> limit;
-    units::Duration age{}; // since the answer
+    units::Duration age{}; // since the response
 };
 
 } // namespace monsoongrade::routing
--- a/src/routing/admission.cpp
+++ b/src/routing/admission.cpp
@@ -13,12 +13,12 @@
 
 } // namespace
 
-Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &facts,
+Admission admit(const RouteTable *table, bool isFresh, const RequestMetadata &metadata,
                 std::string_view target)
 {
     if (table == nullptr)
         return refused(units::ResultCode::NoConfiguration);
-    const Route *route = table->find(facts.host, target);
+    const Route *route = table->find(metadata.host, target);
     const bool needsKey = table->hasKeys() && (route == nullptr || !route->isPublic);
     if (needsKey && !isFresh)
         return refused(units::ResultCode::ConfigurationTooOld);
@@ -29,7 +29,8 @@
     admission.tier = table->tierOf(*route, nullptr);
     if (!needsKey)
         return admission;
-    const WorkspaceKeys *workspace = facts.key.empty() ? nullptr : table->workspaceOf(facts.key);
+    const WorkspaceKeys *workspace
+        = metadata.key.empty() ? nullptr : table->workspaceOf(metadata.key);
     if (workspace == nullptr)
         return refused(units::ResultCode::UnknownKey);
     admission.workspace = workspace->name;
--- a/src/routing/crashtracker.cpp
+++ b/src/routing/crashtracker.cpp
@@ -6,126 +6,127 @@
 
 namespace {
 
-// A record is forgotten after this time without a change, unless it is in quarantine.
-constexpr auto SuspicionTime = std::chrono::minutes(10);
-constexpr auto FirstQuarantine = std::chrono::minutes(10);
-// Bounds the length of a quarantine: each further crash doubles it.
+// A record is removed after this time without a change, unless its request is quarantined.
+constexpr auto RecordRetention = std::chrono::minutes(10);
+constexpr auto InitialQuarantine = std::chrono::minutes(10);
+// Also limits the time in quarantine, which each further crash doubles.
 constexpr std::size_t MaxCrashesKept = 10;
 constexpr std::size_t MaxRecords = 4096;
-constexpr std::size_t MaxFresh = 4096;
-// Later, a new process may answer under the same id before its entry in the store is known.
-constexpr auto MaxTimeToProof = std::chrono::seconds(1);
-constexpr int RoundsToTell = 6;
-constexpr auto CleaningInterval = std::chrono::seconds(10);
+constexpr std::size_t MaxPending = 4096;
+// After this time a new process may respond under the same id before its store entry is known.
+constexpr auto MaxProofDelay = std::chrono::seconds(1);
+constexpr int RoundsPerUpdate = 6;
+constexpr auto CleanupInterval = std::chrono::seconds(10);
 
 } // namespace
 
 void CrashTracker::onCrash(const RequestIdentity &request, const EndpointInstance &endpoint,
                            units::TimePoint now)
 {
-    const CrashUpdate news{CrashUpdate::Kind::Crashed, request, endpoint, {}};
-    if (isCleared(news, now, now) || !addCrash(news, now, now))
+    const CrashUpdate update{CrashUpdate::Kind::Crashed, request, endpoint, {}};
+    if (clearIfCompleted(update, now, now) || !addCrash(update, now, now))
         return;
-    records_[request].wasSeenHere = true;
-    tellLater(news, now);
+    records_[request].isLocallyObserved = true;
+    enqueue(update, now);
 }
 
 void CrashTracker::onCompleted(const RequestIdentity &request, units::TimePoint now)
 {
     completions_.add(request, now);
-    if (complete(request, now))
-        tellLater({CrashUpdate::Kind::Completed, request, {}, {}}, now);
+    if (clearRequest(request, now))
+        enqueue({CrashUpdate::Kind::Completed, request, {}, {}}, now);
 }
 
 void CrashTracker::onAnswered(const EndpointInstance &endpoint, units::TimePoint sentAt)
 {
-    if (acquit(endpoint, sentAt))
-        tellLater({CrashUpdate::Kind::EndpointAnswered, {}, endpoint, {}}, sentAt);
+    if (clearEndpoint(endpoint, sentAt))
+        enqueue({CrashUpdate::Kind::EndpointAnswered, {}, endpoint, {}}, sentAt);
 }
 
-void CrashTracker::receive(const CrashUpdate &news, units::TimePoint now)
+void CrashTracker::receive(const CrashUpdate &update, units::TimePoint now)
 {
-    const units::TimePoint at = now - news.age;
-    if (learn(news, at, now))
-        tellLater(news, at);
+    const units::TimePoint at = now - update.age;
+    if (apply(update, at, now))
+        enqueue(update, at);
 }
 
-// Whether the request was answered here shortly before; the other hosts are then told.
-bool CrashTracker::isCleared(const CrashUpdate &crash, units::TimePoint at, units::TimePoint now)
+// Whether this host recently completed the request. If so, the other hosts are informed.
+bool CrashTracker::clearIfCompleted(const CrashUpdate &crash, units::TimePoint at,
+                                    units::TimePoint now)
 {
     if (!completions_.contains(crash.request, now))
         return false;
     const auto found = records_.find(crash.request);
-    const bool isTold
+    const bool isRecorded
         = found != records_.end() && found->second.completedAt && *found->second.completedAt >= at;
-    if (!isTold) {
+    if (!isRecorded) {
         if (found == records_.end())
-            makeRoom(now);
+            evictIfFull(now);
         Record &record = records_[crash.request];
         record.completedAt = at;
         record.changedAt = std::max(record.changedAt, at);
         record.crashes.clear();
-        tellLater({CrashUpdate::Kind::Completed, crash.request, {}, {}}, at);
+        enqueue({CrashUpdate::Kind::Completed, crash.request, {}, {}}, at);
     }
     return true;
 }
 
-bool CrashTracker::learn(const CrashUpdate &news, units::TimePoint at, units::TimePoint now)
+bool CrashTracker::apply(const CrashUpdate &update, units::TimePoint at, units::TimePoint now)
 {
-    switch (news.kind) {
+    switch (update.kind) {
     case CrashUpdate::Kind::Crashed:
-        return !isCleared(news, at, now) && addCrash(news, at, now);
+        return !clearIfCompleted(update, at, now) && addCrash(update, at, now);
     case CrashUpdate::Kind::Completed:
-        return complete(news.request, at);
+        return clearRequest(update.request, at);
     case CrashUpdate::Kind::EndpointAnswered:
-        return acquit(news.endpoint, at);
+        return clearEndpoint(update.endpoint, at);
     }
     return false;
 }
 
-bool CrashTracker::addCrash(const CrashUpdate &news, units::TimePoint at, units::TimePoint now)
+bool CrashTracker::addCrash(const CrashUpdate &update, units::TimePoint at, units::TimePoint now)
 {
-    Suspect &suspect = suspects_[news.endpoint];
-    if (suspect.answeredAt && at < *suspect.answeredAt)
+    SuspectedEndpoint &suspect = suspects_[update.endpoint];
+    if (suspect.knownAliveAt && at < *suspect.knownAliveAt)
         return false;
-    suspect.brokeAt = std::max(suspect.brokeAt, at);
-    if (records_.count(news.request) == 0)
-        makeRoom(now);
-    Record &record = records_[news.request];
+    suspect.lastCrashAt = std::max(suspect.lastCrashAt, at);
+    if (records_.count(update.request) == 0)
+        evictIfFull(now);
+    Record &record = records_[update.request];
     if (record.completedAt && at <= *record.completedAt)
         return false;
     const bool isKnown
         = std::any_of(record.crashes.begin(), record.crashes.end(),
-                      [&](const Crash &crash) { return crash.endpoint == news.endpoint; });
+                      [&](const Crash &crash) { return crash.endpoint == update.endpoint; });
     if (isKnown)
         return false;
-    const auto place = std::upper_bound(
+    const auto position = std::upper_bound(
         record.crashes.begin(), record.crashes.end(), at,
         [](units::TimePoint time, const Crash &crash) { return time < crash.at; });
     if (record.crashes.size() == MaxCrashesKept) {
-        if (place == record.crashes.begin())
+        if (position == record.crashes.begin())
             return false;
-        const auto index = place - record.crashes.begin() - 1;
+        const auto index = position - record.crashes.begin() - 1;
         record.crashes.erase(record.crashes.begin());
-        record.crashes.insert(record.crashes.begin() + index, {news.endpoint, at});
+        record.crashes.insert(record.crashes.begin() + index, {update.endpoint, at});
     } else {
-        record.crashes.insert(place, {news.endpoint, at});
+        record.crashes.insert(position, {update.endpoint, at});
     }
     record.changedAt = std::max(record.changedAt, at);
     return true;
 }
 
-bool CrashTracker::acquit(const EndpointInstance &endpoint, units::TimePoint sentAt)
+bool CrashTracker::clearEndpoint(const EndpointInstance &endpoint, units::TimePoint sentAt)
 {
     const auto found = suspects_.find(endpoint);
-    if (found == suspects_.end() || sentAt <= found->second.brokeAt)
+    if (found == suspects_.end() || sentAt <= found->second.lastCrashAt)
         return false;
-    Suspect &suspect = found->second;
-    if (sentAt - suspect.brokeAt > MaxTimeToProof)
+    SuspectedEndpoint &suspect = found->second;
+    if (sentAt - suspect.lastCrashAt > MaxProofDelay)
         return false;
-    if (suspect.answeredAt && *suspect.answeredAt > suspect.brokeAt)
+    if (suspect.knownAliveAt && *suspect.knownAliveAt > suspect.lastCrashAt)
         return false; // already cleared
-    suspect.answeredAt = sentAt;
+    suspect.knownAliveAt = sentAt;
     for (auto &[request, record] : records_) {
         auto &crashes = record.crashes;
         crashes.erase(
@@ -136,7 +137,7 @@
     return true;
 }
 
-bool CrashTracker::complete(const RequestIdentity &request, units::TimePoint at)
+bool CrashTracker::clearRequest(const RequestIdentity &request, units::TimePoint at)
 {
     const auto found = records_.find(request);
     if (found == records_.end())
@@ -148,9 +149,9 @@
     record.changedAt = std::max(record.changedAt, at);
     const auto firstLater = std::find_if(record.crashes.begin(), record.crashes.end(),
                                          [at](const Crash &crash) { return crash.at > at; });
-    const bool isCleared = firstLater != record.crashes.begin();
+    const bool hasCleared = firstLater != record.crashes.begin();
     record.crashes.erase(record.crashes.begin(), firstLater);
-    return isCleared;
+    return hasCleared;
 }
 
 std::optional<units::TimePoint> CrashTracker::quarantineEnd(const Record &record)
@@ -158,7 +159,7 @@
     if (record.crashes.size() < CrashesToQuarantine)
         return std::nullopt;
     const auto doublings = record.crashes.size() - CrashesToQuarantine;
-    return record.crashes.back().at + units::Duration(FirstQuarantine) * (1 << doublings);
+    return record.crashes.back().at + units::Duration(InitialQuarantine) * (1 << doublings);
 }
 
 bool CrashTracker::isQuarantined(const Record &record, units::TimePoint now)
@@ -187,7 +188,7 @@
 {
     std::vector<RequestIdentity> requests;
     for (const auto &[request, record] : records_) {
-        if (record.wasSeenHere && isQuarantined(record, now))
+        if (record.isLocallyObserved && isQuarantined(record, now))
             requests.push_back(request);
     }
     return requests;
@@ -196,91 +197,94 @@
 std::vector<CrashUpdate> CrashTracker::crashesOf(const RequestIdentity &request,
                                                  units::TimePoint now) const
 {
-    std::vector<CrashUpdate> news;
+    std::vector<CrashUpdate> updates;
     const auto found = records_.find(request);
     if (found != records_.end())
-        appendCrashes(*found, news, now);
-    return news;
+        appendCrashes(*found, updates, now);
+    return updates;
 }
 
-void CrashTracker::tellLater(const CrashUpdate &news, units::TimePoint at)
+void CrashTracker::enqueue(const CrashUpdate &update, units::TimePoint at)
 {
-    if (fresh_.size() >= MaxFresh)
-        fresh_.pop_front();
-    fresh_.push_back({news, at, RoundsToTell});
+    if (pending_.size() >= MaxPending)
+        pending_.pop_front();
+    pending_.push_back({update, at, RoundsPerUpdate});
 }
 
 std::vector<CrashUpdate> CrashTracker::takeUpdates(std::size_t maxItems, units::TimePoint now)
 {
-    forgetOld(now);
-    std::vector<CrashUpdate> news;
-    for (std::size_t left = std::min(maxItems, fresh_.size()); left > 0; --left) {
-        Telling telling = std::move(fresh_.front());
-        fresh_.pop_front();
-        telling.news.age = now - telling.at;
-        news.push_back(telling.news);
-        if (--telling.roundsLeft > 0)
-            fresh_.push_back(std::move(telling));
+    removeOutdated(now);
+    std::vector<CrashUpdate> updates;
+    for (std::size_t left = std::min(maxItems, pending_.size()); left > 0; --left) {
+        PendingUpdate next = std::move(pending_.front());
+        pending_.pop_front();
+        next.update.age = now - next.at;
+        updates.push_back(next.update);
+        if (--next.roundsLeft > 0)
+            pending_.push_back(std::move(next));
     }
-    const auto inTurn = [&](Records::const_iterator first, Records::const_iterator last) {
+    const auto findQuarantined = [&](Records::const_iterator first, Records::const_iterator last) {
         return std::find_if(first, last,
                             [now](const auto &each) { return isQuarantined(each.second, now); });
     };
-    auto repeated = inTurn(records_.upper_bound(lastRepeated_), records_.end());
-    if (repeated == records_.end())
-        repeated = inTurn(records_.begin(), records_.end());
-    if (repeated != records_.end() && news.size() + MaxCrashesKept <= maxItems) {
-        lastRepeated_ = repeated->first;
-        appendCrashes(*repeated, news, now);
+    auto resent = findQuarantined(records_.upper_bound(lastResent_), records_.end());
+    if (resent == records_.end())
+        resent = findQuarantined(records_.begin(), records_.end());
+    if (resent != records_.end() && updates.size() + MaxCrashesKept <= maxItems) {
+        lastResent_ = resent->first;
+        appendCrashes(*resent, updates, now);
     }
-    return news;
+    return updates;
 }
 
 std::vector<CrashUpdate> CrashTracker::quarantineNews(std::size_t maxItems,
                                                       units::TimePoint now) const
 {
-    std::vector<CrashUpdate> news;
+    std::vector<CrashUpdate> updates;
     for (const auto &record : records_) {
-        if (isQuarantined(record.second, now) && news.size() + MaxCrashesKept <= maxItems)
-            appendCrashes(record, news, now);
+        if (isQuarantined(record.second, now) && updates.size() + MaxCrashesKept <= maxItems)
+            appendCrashes(record, updates, now);
     }
-    return news;
+    return updates;
 }
 
-void CrashTracker::appendCrashes(const Records::value_type &record, std::vector<CrashUpdate> &news,
-                                 units::TimePoint now)
+void CrashTracker::appendCrashes(const Records::value_type &record,
+                                 std::vector<CrashUpdate> &updates, units::TimePoint now)
 {
     for (const Crash &crash : record.second.crashes)
-        news.push_back({CrashUpdate::Kind::Crashed, record.first, crash.endpoint, now - crash.at});
+        updates.push_back(
+            {CrashUpdate::Kind::Crashed, record.first, crash.endpoint, now - crash.at});
 }
 
-// Gives up the record that has not changed for the longest time, a quarantined one last.
-void CrashTracker::makeRoom(units::TimePoint now)
+// Evicts the record that has been unchanged for the longest time, quarantined ones last.
+void CrashTracker::evictIfFull(units::TimePoint now)
 {
     if (records_.size() < MaxRecords)
         return;
-    const auto isLessNeeded = [now](const auto &a, const auto &b) {
-        const bool isHeldA = isQuarantined(a.second, now);
-        const bool isHeldB = isQuarantined(b.second, now);
-        return isHeldA != isHeldB ? isHeldB : a.second.changedAt < b.second.changedAt;
+    const auto isEvictedBefore = [now](const auto &a, const auto &b) {
+        const bool isQuarantinedA = isQuarantined(a.second, now);
+        const bool isQuarantinedB = isQuarantined(b.second, now);
+        return isQuarantinedA != isQuarantinedB ? isQuarantinedB
+                                                : a.second.changedAt < b.second.changedAt;
     };
-    records_.erase(std::min_element(records_.begin(), records_.end(), isLessNeeded));
+    records_.erase(std::min_element(records_.begin(), records_.end(), isEvictedBefore));
 }
 
-void CrashTracker::forgetOld(units::TimePoint now)
+void CrashTracker::removeOutdated(units::TimePoint now)
 {
-    if (now < nextCleaning_)
+    if (now < nextCleanupAt_)
         return;
-    nextCleaning_ = now + CleaningInterval;
+    nextCleanupAt_ = now + CleanupInterval;
     for (auto entry = records_.begin(); entry != records_.end();) {
-        // Once more the suspicion time after a quarantine: the first crash in it fails the trial.
-        const units::TimePoint keptFrom
+        // After a quarantine the record is kept once more, so that a single further crash in this
+        // time quarantines the request again.
+        const units::TimePoint retainedFrom
             = quarantineEnd(entry->second).value_or(entry->second.changedAt);
-        entry = now - keptFrom >= SuspicionTime ? records_.erase(entry) : std::next(entry);
+        entry = now - retainedFrom >= RecordRetention ? records_.erase(entry) : std::next(entry);
     }
     for (auto entry = suspects_.begin(); entry != suspects_.end();) {
-        const bool isOver = now - entry->second.brokeAt >= SuspicionTime;
-        entry = isOver ? suspects_.erase(entry) : std::next(entry);
+        const bool isExpired = now - entry->second.lastCrashAt >= RecordRetention;
+        entry = isExpired ? suspects_.erase(entry) : std::next(entry);
     }
 }
 
--- a/src/routing/endpointhealth.cpp
+++ b/src/routing/endpointhealth.cpp
@@ -7,19 +7,19 @@
 
 namespace {
 
-// An endpoint that breaks 2 in 100 requests at random has two breaks in a row once in 2,500, so
-// that few good ones are suspended; one that is down is noticed by its second request.
+// An endpoint that fails 2 % of its requests at random fails two in a row once in 2,500 requests,
+// so few healthy endpoints are suspended; one that is down is detected by its second request.
 constexpr int FailuresToSuspend = 2;
-// A restart takes 2 to 5 s. The first pause is short, because a single burst of resets does not
-// mean that the endpoint is down; the longest bounds how long a returned one stays unused.
-constexpr auto FirstPause = std::chrono::milliseconds(300);
-constexpr auto MaxPause = std::chrono::seconds(2);
-// Weight of the newest result. 0.1 remembers about the last 20 requests.
+// A restart takes 2 to 5 s. The first suspension is short, because a single burst of resets does
+// not mean that the endpoint is down; the maximum limits how long a recovered one stays unused.
+constexpr auto FirstSuspension = std::chrono::milliseconds(300);
+constexpr auto MaxSuspension = std::chrono::seconds(2);
+// Weight of the newest result in the moving average. 0.1 covers about the last 20 requests.
 constexpr double ResultWeight = 0.1;
 constexpr double LatencyWeight = 0.15;
-constexpr double MaxCountedSlowness = 20;
-// An endpoint that is avoided gets no requests that could clear it, so what is held against it
-// halves in this time. Slow and failing spells last 4 to 7 s.
+constexpr double MaxCountedLatencyRatio = 20;
+// An avoided endpoint gets no requests that could improve its averages, so they decay with this
+// half-life. Slow and failing periods last 4 to 7 s.
 constexpr double HalfLifeSeconds = 3;
 
 double remembered(units::TimePoint since, units::TimePoint now)
@@ -32,38 +32,39 @@
 
 void EndpointHealth::onSuccess(units::TimePoint now)
 {
-    failuresInRow_ = 0;
+    consecutiveFailures_ = 0;
     suspendedUntil_ = {};
     addResult(0, now);
 }
 
 void EndpointHealth::onErrorResponse(units::TimePoint now)
 {
-    failuresInRow_ = 0;
+    consecutiveFailures_ = 0;
     suspendedUntil_ = {};
     addResult(1, now);
 }
 
 void EndpointHealth::onFailure(units::TimePoint now)
 {
-    ++failuresInRow_;
+    ++consecutiveFailures_;
     addResult(1, now);
-    if (failuresInRow_ < FailuresToSuspend)
+    if (consecutiveFailures_ < FailuresToSuspend)
         return;
-    const int doublings = std::min(failuresInRow_ - FailuresToSuspend, 4);
-    suspendedUntil_ = now + std::min<units::Duration>(FirstPause * (1 << doublings), MaxPause);
+    const int doublings = std::min(consecutiveFailures_ - FailuresToSuspend, 4);
+    suspendedUntil_
+        = now + std::min<units::Duration>(FirstSuspension * (1 << doublings), MaxSuspension);
 }
 
 void EndpointHealth::onSilence(units::TimePoint now)
 {
-    failuresInRow_ = std::max(failuresInRow_, FailuresToSuspend - 1);
+    consecutiveFailures_ = std::max(consecutiveFailures_, FailuresToSuspend - 1);
     onFailure(now);
 }
 
-void EndpointHealth::onLatency(double timesExpected, units::TimePoint now)
+void EndpointHealth::onLatency(double latencyRatio, units::TimePoint now)
 {
     const double before = slowness(now);
-    slowness_ = before + (std::min(timesExpected, MaxCountedSlowness) - before) * LatencyWeight;
+    slowness_ = before + (std::min(latencyRatio, MaxCountedLatencyRatio) - before) * LatencyWeight;
     slownessAt_ = now;
 }
 
@@ -74,10 +75,10 @@
 
 void EndpointHealth::onSent(units::TimePoint now)
 {
-    // Until the trial request ends, no other is sent: a hundred waiting requests would else all
-    // go to an endpoint that is still down.
-    if (failuresInRow_ >= FailuresToSuspend)
-        suspendedUntil_ = now + MaxPause;
+    // No other request is sent until the trial request ends: otherwise a hundred waiting requests
+    // would all go to an endpoint that is still down.
+    if (consecutiveFailures_ >= FailuresToSuspend)
+        suspendedUntil_ = now + MaxSuspension;
 }
 
 double EndpointHealth::failureRate(units::TimePoint now) const
--- a/src/routing/endpointratelimiter.cpp
+++ b/src/routing/endpointratelimiter.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-// Placed a little early, a request does not wait for exact timing; the average stays at the limit.
-constexpr double MaxDebt = 0.25;
-// Only an answer tells that a limit is over, so a little is sent whatever the limit is.
+// Lets a request be placed slightly early instead of at the exact time; the average rate stays at
+// the limit.
+constexpr double MaxLevel = 0.25;
+// Only a response can show that a limit was lifted, so a few requests are sent at any limit.
 constexpr RequestsPerSecond MinPerSecond = 0.1;
-// How long a turn may be used.
+// How long a host may use its turn.
 constexpr double TurnSeconds = 0.5;
 
 } // namespace
@@ -22,8 +23,8 @@
     if (limit == limit_)
         return false;
     if (!limit_) {
-        debt_ = MaxDebt + phase;
-        debtSince_ = now;
+        level_ = MaxLevel + phase;
+        levelUpdatedAt_ = now;
         limitedSince_ = now;
         phase_ = phase;
     }
@@ -33,7 +34,7 @@
 
 bool EndpointRateLimiter::allows(double share, units::TimePoint now) const
 {
-    return !limit_ || (debtAt(share, now) <= MaxDebt && (share >= 1 || isOwnTurn(share, now)));
+    return !limit_ || (levelAt(share, now) <= MaxLevel && (share >= 1 || isOwnTurn(share, now)));
 }
 
 bool EndpointRateLimiter::isOwnTurn(double share, units::TimePoint now) const
@@ -49,14 +50,14 @@
 {
     if (!limit_)
         return;
-    debt_ = debtAt(share, now) + 1;
-    debtSince_ = now;
+    level_ = levelAt(share, now) + 1;
+    levelUpdatedAt_ = now;
 }
 
-double EndpointRateLimiter::debtAt(double share, units::TimePoint now) const
+double EndpointRateLimiter::levelAt(double share, units::TimePoint now) const
 {
-    const double seconds = std::chrono::duration<double>(now - debtSince_).count();
-    return std::max(0.0, debt_ - seconds * std::max(*limit_, MinPerSecond) * share);
+    const double seconds = std::chrono::duration<double>(now - levelUpdatedAt_).count();
+    return std::max(0.0, level_ - seconds * std::max(*limit_, MinPerSecond) * share);
 }
 
 } // namespace monsoongrade::routing
--- a/src/routing/endpointregistry.cpp
+++ b/src/routing/endpointregistry.cpp
@@ -19,7 +19,7 @@
     }
     for (auto &[id, entry] : entries_) {
         if (present.count(id) == 0)
-            miss(id, entry, now, keepMissingUntil);
+            markMissing(id, entry, now, keepMissingUntil);
     }
     removeExpired(now);
 }
@@ -32,19 +32,19 @@
         && entry.status->registration.address == endpoint.address
         && entry.status->registration.pool == endpoint.pool;
     if (!isSame) {
-        // A restarted endpoint knows nothing of the requests and cache of the one before it, so
-        // its load and health start anew. Requests of the old one keep the old status.
+        // A restarted endpoint has none of the requests and cache of the previous instance, so
+        // its load and health start from zero. Requests of the previous instance keep its status.
         if (entry.status != nullptr) {
-            leave(entry);
-            countOut(entry.status->registration.pool);
+            markLeaving(entry);
+            decrementSize(entry.status->registration.pool);
         }
         entry.status = std::make_shared<EndpointStatus>();
-        countIn(endpoint.pool);
+        incrementSize(endpoint.pool);
     }
     missing_.erase(endpoint.id.value());
     entry.status->registration = endpoint;
     if (endpoint.draining) {
-        leave(entry);
+        markLeaving(entry);
         return;
     }
     entry.status->leaving = false;
@@ -57,7 +57,7 @@
     const auto found = entries_.find(id.value());
     if (found == entries_.end())
         return;
-    miss(found->first, found->second, now, keepMissingUntil);
+    markMissing(found->first, found->second, now, keepMissingUntil);
     removeExpired(now);
 }
 
@@ -70,8 +70,8 @@
             ++missing;
             continue;
         }
-        leave(entry->second);
-        countOut(entry->second.status->registration.pool);
+        markLeaving(entry->second);
+        decrementSize(entry->second.status->registration.pool);
         entries_.erase(entry);
         missing = missing_.erase(missing);
     }
@@ -124,7 +124,7 @@
     return isSame ? found->second.status : nullptr;
 }
 
-void EndpointRegistry::leave(Entry &entry)
+void EndpointRegistry::markLeaving(Entry &entry)
 {
     removeAvailable(entry.status);
     if (entry.status->leaving)
@@ -134,16 +134,16 @@
         onLeaving_(*entry.status);
 }
 
-void EndpointRegistry::miss(const std::string &id, Entry &entry, units::TimePoint now,
-                            units::TimePoint keepMissingUntil)
+void EndpointRegistry::markMissing(const std::string &id, Entry &entry, units::TimePoint now,
+                                   units::TimePoint keepMissingUntil)
 {
     if (missing_.insert(id).second)
         entry.keepUntil = std::max(now, keepMissingUntil);
 }
 
-// Where the endpoint is or belongs in the list, which is in the order of ids.
+// Position of the endpoint, or where to insert it, in a list ordered by id.
 std::vector<EndpointRegistry::Status>::iterator
-EndpointRegistry::placeIn(std::vector<Status> &available, const units::EndpointId &id)
+EndpointRegistry::positionIn(std::vector<Status> &available, const units::EndpointId &id)
 {
     return std::lower_bound(available.begin(), available.end(), id,
                             [this](const Status &each, const units::EndpointId &wanted) {
@@ -157,12 +157,12 @@
     return division_.isUsedIn(ownCell_, status.registration.pool, status.registration.id);
 }
 
-void EndpointRegistry::countIn(const units::PoolName &pool)
+void EndpointRegistry::incrementSize(const units::PoolName &pool)
 {
     ++sizes_[pool.value()];
 }
 
-void EndpointRegistry::countOut(const units::PoolName &pool)
+void EndpointRegistry::decrementSize(const units::PoolName &pool)
 {
     const auto size = sizes_.find(pool.value());
     if (size != sizes_.end() && --size->second == 0)
@@ -174,17 +174,17 @@
     if (!isInOwnCell(*status))
         return;
     std::vector<Status> &available = available_[status->registration.pool.value()];
-    const auto place = placeIn(available, status->registration.id);
-    if (place == available.end() || *place != status)
-        available.insert(place, status);
+    const auto position = positionIn(available, status->registration.id);
+    if (position == available.end() || *position != status)
+        available.insert(position, status);
 }
 
 void EndpointRegistry::removeAvailable(const Status &status)
 {
     std::vector<Status> &available = available_[status->registration.pool.value()];
-    const auto place = placeIn(available, status->registration.id);
-    if (place != available.end() && *place == status)
-        available.erase(place);
+    const auto position = positionIn(available, status->registration.id);
+    if (position != available.end() && *position == status)
+        available.erase(position);
 }
 
 } // namespace monsoongrade::routing
--- a/src/routing/fleetdivision.cpp
+++ b/src/routing/fleetdivision.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-// A placing host with an eighth of a core decides over so many for each of 40 requests a second.
+// A coordinator with an eighth of a core can evaluate this many for each of 40 requests a second.
 constexpr std::size_t MaxEndpointsInCell = 640;
-// The number of cells is halved when cells have become this small.
+// The number of cells is reduced when cells become smaller than this.
 constexpr std::size_t MinEndpointsInCell = 160;
 
-std::uint32_t partOf(std::string_view name, std::uint32_t parts)
+std::uint32_t cellFor(std::string_view name, std::uint32_t cells)
 {
-    return std::uint32_t((units::spreadHash({"cell", name}) >> 32) % parts);
+    return std::uint32_t((units::spreadHash({"cell", name}) >> 32) % cells);
 }
 
-std::uint32_t cellsFor(std::size_t endpoints)
+std::uint32_t cellCountFor(std::size_t endpoints)
 {
     std::uint32_t cells = 1;
     while (endpoints > cells * MaxEndpointsInCell)
@@ -26,7 +26,7 @@
     return cells;
 }
 
-bool isStillFitting(std::size_t endpoints, std::uint32_t cells)
+bool isCellCountSuitable(std::size_t endpoints, std::uint32_t cells)
 {
     return endpoints <= cells * MaxEndpointsInCell
         && (cells == 1 || endpoints >= cells * MinEndpointsInCell);
@@ -42,7 +42,7 @@
 
 std::uint32_t FleetDivision::cellOf(const std::string &hostIp) const
 {
-    return partOf(hostIp, cells_);
+    return cellFor(hostIp, cells_);
 }
 
 bool FleetDivision::isDivided(const units::PoolName &pool) const
@@ -53,7 +53,7 @@
 bool FleetDivision::isUsedIn(std::uint32_t cell, const units::PoolName &pool,
                              const units::EndpointId &endpoint) const
 {
-    return !isDivided(pool) || partOf(endpoint.value(), cells_) == cell;
+    return !isDivided(pool) || cellFor(endpoint.value(), cells_) == cell;
 }
 
 std::uint64_t FleetDivision::fingerprint() const
@@ -68,17 +68,17 @@
 }
 
 FleetDivision divideFleet(const std::map<std::string, std::size_t> &endpointsByPool,
-                          const FleetDivision &present)
+                          const FleetDivision &current)
 {
     std::size_t largest = 0;
     for (const auto &[pool, endpoints] : endpointsByPool)
         largest = std::max(largest, endpoints);
     const std::uint32_t cells
-        = isStillFitting(largest, present.cells()) ? present.cells() : cellsFor(largest);
+        = isCellCountSuitable(largest, current.cells()) ? current.cells() : cellCountFor(largest);
     std::set<std::string> divided;
     for (const auto &[pool, endpoints] : endpointsByPool) {
         const bool isLarge = endpoints > MaxEndpointsInCell
-            || (present.pools().count(pool) != 0 && endpoints >= MinEndpointsInCell);
+            || (current.pools().count(pool) != 0 && endpoints >= MinEndpointsInCell);
         if (cells > 1 && isLarge)
             divided.insert(pool);
     }
--- a/src/routing/peerfailuredetector.cpp
+++ b/src/routing/peerfailuredetector.cpp
@@ -11,13 +11,13 @@
 
 // Heartbeats are 250 ms apart.
 constexpr auto ProbeAfter = std::chrono::milliseconds(500);
-// Leaves time for three probes and their answers. Together with the spreading of the news a lost
-// host is known to all within two seconds.
+// Leaves time for three probes and their answers. Including the gossip of the loss, all hosts know
+// of a lost host within two seconds.
 constexpr auto LostAfter = std::chrono::milliseconds(1100);
-// Rounds are 250 ms apart.
+// Rounds are 250 ms apart; a longer gap means that this process was suspended.
 constexpr auto SuspendedAfter = std::chrono::milliseconds(700);
 
-std::uint64_t placeOf(const std::string &ip)
+std::uint64_t ringPosition(const std::string &ip)
 {
     return units::spreadHash({"ring", ip});
 }
@@ -41,15 +41,15 @@
 RingNeighbours ringNeighbours(const std::string &ownIp, const std::vector<std::string> &live,
                               std::size_t maxWatchers, std::size_t maxWatched)
 {
-    const std::uint64_t own = placeOf(ownIp);
+    const std::uint64_t own = ringPosition(ownIp);
     Distances after;
     Distances before;
     after.reserve(live.size());
     before.reserve(live.size());
     for (const std::string &ip : live) {
-        const std::uint64_t place = placeOf(ip);
-        after.emplace_back(place - own, &ip);
-        before.emplace_back(own - place, &ip);
+        const std::uint64_t position = ringPosition(ip);
+        after.emplace_back(position - own, &ip);
+        before.emplace_back(own - position, &ip);
     }
     return {nearest(std::move(after), maxWatchers), nearest(std::move(before), maxWatched)};
 }
@@ -61,25 +61,25 @@
         watched->second = now;
 }
 
-PeerFailureDetector::Judgement PeerFailureDetector::judge(const std::vector<std::string> &watched,
-                                                          units::TimePoint now)
+PeerFailureDetector::Result PeerFailureDetector::check(const std::vector<std::string> &watched,
+                                                       units::TimePoint now)
 {
-    const bool wasSuspended = now - lastJudgedAt_ >= SuspendedAfter;
-    lastJudgedAt_ = now;
+    const bool wasSuspended = now - lastCheckAt_ >= SuspendedAfter;
+    lastCheckAt_ = now;
     std::map<std::string, units::TimePoint> lastHeartbeatAt;
-    Judgement judgement;
+    Result result;
     for (const std::string &ip : watched) {
         const auto before = lastHeartbeatAt_.find(ip);
-        const bool startsAnew = wasSuspended || before == lastHeartbeatAt_.end();
-        const units::TimePoint at = startsAnew ? now : before->second;
+        const bool isTimeoutRestarted = wasSuspended || before == lastHeartbeatAt_.end();
+        const units::TimePoint at = isTimeoutRestarted ? now : before->second;
         lastHeartbeatAt[ip] = at;
         if (now - at >= LostAfter)
-            judgement.lost.push_back(ip);
+            result.lost.push_back(ip);
         else if (now - at >= ProbeAfter)
-            judgement.probeTargets.push_back(ip);
+            result.probeTargets.push_back(ip);
     }
     lastHeartbeatAt_ = std::move(lastHeartbeatAt);
-    return judgement;
+    return result;
 }
 
 } // namespace monsoongrade::routing
--- a/src/routing/peertable.cpp
+++ b/src/routing/peertable.cpp
@@ -7,36 +7,37 @@
 
 namespace {
 
-// Six missed messages at four a second. Datagrams are lost at up to 3 in 100 on bad days, and a
-// host that is wrongly left out gets no new callers for a moment, which does little harm.
-constexpr auto LiveFor = std::chrono::milliseconds(1500);
-// In a large fleet most news comes through others: each host tells seven of them in a round, and
-// the news of all 80 is at most about 1.2 s old.
-constexpr auto LiveForInLargeFleet = std::chrono::milliseconds(2500);
-constexpr std::size_t LargeFleet = 12;
-// A lost host may be behind a partition of up to a minute; later it comes back through a seed.
-constexpr auto RememberedFor = std::chrono::seconds(120);
-// Up to this size each host's news reaches all others by way of gossip within LiveForInLargeFleet.
-constexpr std::size_t MaxHostsHeardByAge = 100;
-// Each round goes to seven hosts, so that a change reaches all of 10,000 in five rounds.
-constexpr int TransmitsOfChange = 4;
-// Fewer for a host that is new here: when a whole fleet starts, all are.
-constexpr int TransmitsOfNewHost = 3;
-// Starts of one process as two hosts work them out differ by the time that news was under way.
-constexpr auto SameStart = std::chrono::milliseconds(1000);
-// A host that is lost may have spoken to others a moment after its last word here.
-constexpr auto SpokeElsewhere = std::chrono::milliseconds(300);
-
-units::TimePoint startOf(const PeerUpdate &news, units::TimePoint saidAt)
+// Six missed messages at four a second. Up to 3 % of datagrams are lost at times, and a host that
+// is wrongly considered lost gets no new callers for a moment, which does little harm.
+constexpr auto LiveTimeout = std::chrono::milliseconds(1500);
+// Above MaxHostsHeardDirectly most updates come through other hosts: each sends to seven in a
+// round, and with 80 hosts the updates of all are at most about 1.2 s old.
+constexpr auto RelayedLiveTimeout = std::chrono::milliseconds(2500);
+constexpr std::size_t MaxHostsHeardDirectly = 12;
+// A lost host may be behind a network partition of up to a minute; later it returns through a seed.
+constexpr auto LostHostRetention = std::chrono::seconds(120);
+// Up to this fleet size, gossip carries the updates of each host to all others within
+// RelayedLiveTimeout.
+constexpr std::size_t MaxHostsTimedOutByAge = 100;
+// Each round has seven recipients, so that a change reaches all of 10,000 hosts in five rounds.
+constexpr int TransmitsPerChange = 4;
+// Fewer for a host that is new to this one: when a whole fleet starts, all of them are.
+constexpr int TransmitsPerNewHost = 3;
+// Two hosts compute slightly different start times of a process, depending on message delays.
+constexpr auto StartTimeTolerance = std::chrono::milliseconds(1000);
+// Other hosts may have heard from a lost host a moment after this one last did.
+constexpr auto LossReportOffset = std::chrono::milliseconds(300);
+
+units::TimePoint startOf(const PeerUpdate &update, units::TimePoint reportedAt)
 {
-    return saidAt - news.uptime;
+    return reportedAt - update.uptime;
 }
 
-bool isChange(const PeerUpdate &news, const PeerUpdate &known)
+bool isChange(const PeerUpdate &update, const PeerUpdate &known)
 {
-    return news.state != known.state || news.isStoreRefused != known.isStoreRefused
-        || news.dutyToken != known.dutyToken || news.uptime < known.uptime
-        || (news.storeReachableFor > units::Duration::zero())
+    return update.state != known.state || update.isStoreRefused != known.isStoreRefused
+        || update.dutyToken != known.dutyToken || update.uptime < known.uptime
+        || (update.storeReachableFor > units::Duration::zero())
         != (known.storeReachableFor > units::Duration::zero());
 }
 
@@ -45,34 +46,35 @@
 void PeerTable::addSeed(const std::string &ip)
 {
     Entry &entry = entries_[ip];
-    entry.news.ip = ip;
+    entry.update.ip = ip;
 }
 
-void PeerTable::receive(const PeerUpdate &news, units::TimePoint now)
+void PeerTable::receive(const PeerUpdate &update, units::TimePoint now)
 {
-    Entry &entry = entries_[news.ip];
-    const units::TimePoint saidAt = now - news.age;
-    if (entry.hasSpoken && !isNewer(news, entry, now))
+    Entry &entry = entries_[update.ip];
+    const units::TimePoint reportedAt = now - update.age;
+    if (entry.hasReport && !isNewer(update, entry, now))
         return;
-    if (!entry.hasSpoken)
-        entry.transmitsLeft = TransmitsOfNewHost;
-    else if (isChange(news, entry.news))
-        entry.transmitsLeft = TransmitsOfChange;
-    spoken_ += entry.hasSpoken ? 0 : 1;
-    entry.news = news;
-    entry.saidAt = saidAt;
-    entry.hasSpoken = true;
+    if (!entry.hasReport)
+        entry.transmitsLeft = TransmitsPerNewHost;
+    else if (isChange(update, entry.update))
+        entry.transmitsLeft = TransmitsPerChange;
+    reportedHosts_ += entry.hasReport ? 0 : 1;
+    entry.update = update;
+    entry.reportedAt = reportedAt;
+    entry.hasReport = true;
 }
 
-bool PeerTable::isNewer(const PeerUpdate &news, const Entry &known, units::TimePoint now) const
+bool PeerTable::isNewer(const PeerUpdate &update, const Entry &known, units::TimePoint now) const
 {
-    const units::TimePoint saidAt = now - news.age;
+    const units::TimePoint reportedAt = now - update.age;
     if (!isLarge())
-        return saidAt > known.saidAt;
-    const units::Duration between = startOf(news, saidAt) - startOf(known.news, known.saidAt);
-    if (between >= SameStart || between <= -units::Duration(SameStart))
-        return between > units::Duration::zero();
-    return news.uptime > known.news.uptime;
+        return reportedAt > known.reportedAt;
+    const units::Duration difference
+        = startOf(update, reportedAt) - startOf(known.update, known.reportedAt);
+    if (difference >= StartTimeTolerance || difference <= -units::Duration(StartTimeTolerance))
+        return difference > units::Duration::zero();
+    return update.uptime > known.update.uptime;
 }
 
 void PeerTable::markLost(const std::string &ip, units::TimePoint now)
@@ -81,18 +83,18 @@
     if (found == entries_.end())
         return;
     Entry &entry = found->second;
-    entry.news.uptime += now - entry.saidAt - units::Duration(SpokeElsewhere);
-    entry.news.state = PeerState::Lost;
-    entry.saidAt = now - SpokeElsewhere;
-    entry.transmitsLeft = TransmitsOfChange;
+    entry.update.uptime += now - entry.reportedAt - units::Duration(LossReportOffset);
+    entry.update.state = PeerState::Lost;
+    entry.reportedAt = now - LossReportOffset;
+    entry.transmitsLeft = TransmitsPerChange;
 }
 
 bool PeerTable::isLarge() const
 {
-    return spoken_ > MaxHostsHeardByAge;
+    return reportedHosts_ > MaxHostsTimedOutByAge;
 }
 
-std::vector<PeerUpdate> PeerTable::takeChanges(std::size_t most, units::TimePoint now,
+std::vector<PeerUpdate> PeerTable::takeChanges(std::size_t maxItems, units::TimePoint now,
                                                std::minstd_rand &random)
 {
     std::vector<Entry *> changed;
@@ -101,20 +103,20 @@
             changed.push_back(&entry);
     }
     std::shuffle(changed.begin(), changed.end(), random);
-    most = std::min(most, changed.size());
+    maxItems = std::min(maxItems, changed.size());
     std::partial_sort(
-        changed.begin(), changed.begin() + std::ptrdiff_t(most), changed.end(),
+        changed.begin(), changed.begin() + std::ptrdiff_t(maxItems), changed.end(),
         [](const Entry *a, const Entry *b) { return a->transmitsLeft > b->transmitsLeft; });
-    std::vector<PeerUpdate> news;
-    news.reserve(most);
-    for (std::size_t i = 0; i < most; ++i) {
+    std::vector<PeerUpdate> updates;
+    updates.reserve(maxItems);
+    for (std::size_t i = 0; i < maxItems; ++i) {
         --changed[i]->transmitsLeft;
-        news.push_back(updateFor(*changed[i], now));
+        updates.push_back(updateFor(*changed[i], now));
     }
-    return news;
+    return updates;
 }
 
-std::vector<PeerUpdate> PeerTable::sample(std::size_t most, units::TimePoint now,
+std::vector<PeerUpdate> PeerTable::sample(std::size_t maxItems, units::TimePoint now,
                                           std::minstd_rand &random) const
 {
     std::vector<const Entry *> live;
@@ -123,19 +125,19 @@
             live.push_back(&entry);
     }
     std::vector<const Entry *> chosen;
-    std::sample(live.begin(), live.end(), std::back_inserter(chosen), most, random);
-    std::vector<PeerUpdate> news;
-    news.reserve(chosen.size());
+    std::sample(live.begin(), live.end(), std::back_inserter(chosen), maxItems, random);
+    std::vector<PeerUpdate> updates;
+    updates.reserve(chosen.size());
     for (const Entry *entry : chosen)
-        news.push_back(updateFor(*entry, now));
-    return news;
+        updates.push_back(updateFor(*entry, now));
+    return updates;
 }
 
 PeerUpdate PeerTable::updateFor(const Entry &entry, units::TimePoint now) const
 {
-    PeerUpdate news = entry.news;
-    news.age = now - entry.saidAt;
-    return news;
+    PeerUpdate update = entry.update;
+    update.age = now - entry.reportedAt;
+    return update;
 }
 
 bool PeerTable::isLive(const std::string &ip, units::TimePoint now) const
@@ -146,10 +148,11 @@
 
 bool PeerTable::isLive(const Entry &entry, units::TimePoint now) const
 {
-    if (!entry.hasSpoken || entry.news.state == PeerState::Lost)
+    if (!entry.hasReport || entry.update.state == PeerState::Lost)
         return false;
-    const units::Duration liveFor = entries_.size() > LargeFleet ? LiveForInLargeFleet : LiveFor;
-    return isLarge() || now - entry.saidAt < liveFor;
+    const units::Duration timeout
+        = entries_.size() > MaxHostsHeardDirectly ? RelayedLiveTimeout : LiveTimeout;
+    return isLarge() || now - entry.reportedAt < timeout;
 }
 
 std::vector<PeerUpdate> PeerTable::live(units::TimePoint now) const
@@ -176,7 +179,7 @@
 {
     std::vector<std::string> found;
     for (const auto &[ip, entry] : entries_) {
-        if (!entry.hasSpoken || now - entry.saidAt < RememberedFor)
+        if (!entry.hasReport || now - entry.reportedAt < LostHostRetention)
             found.push_back(ip);
     }
     return found;
--- a/src/routing/ratelimittable.cpp
+++ b/src/routing/ratelimittable.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr int RoundsToTell = 6;
-constexpr auto TellAgainInterval = std::chrono::seconds(2);
-// A limit that is over is kept while news of the time before may still arrive.
-constexpr auto LiftedKept = std::chrono::seconds(10);
-// Without an answer for so long the endpoint is gone, or nobody sends there.
+constexpr int RoundsPerUpdate = 6;
+constexpr auto ResendInterval = std::chrono::seconds(2);
+// A lifted limit is kept while older updates may still arrive.
+constexpr auto LiftedLimitRetention = std::chrono::seconds(10);
+// Without a response for this long, the endpoint is gone or no host sends to it.
 constexpr auto MaxAge = std::chrono::minutes(10);
 constexpr std::size_t MaxEntries = 4096;
 
@@ -23,16 +23,16 @@
     if (found == entries_.end()) {
         if (!limit || entries_.size() >= MaxEntries)
             return false;
-        entries_[endpoint] = {limit, at, RoundsToTell, {}};
+        entries_[endpoint] = {limit, at, RoundsPerUpdate, {}};
         return true;
     }
     Entry &entry = found->second;
-    if (at <= entry.heardAt)
+    if (at <= entry.announcedAt)
         return false;
-    entry.heardAt = at;
+    entry.announcedAt = at;
     if (entry.limit != limit) {
         entry.limit = limit;
-        entry.roundsLeft = RoundsToTell;
+        entry.roundsLeft = RoundsPerUpdate;
     }
     return true;
 }
@@ -46,24 +46,25 @@
 
 std::vector<RateLimitUpdate> RateLimitTable::takeUpdates(std::size_t maxItems, units::TimePoint now)
 {
-    std::vector<RateLimitUpdate> news;
+    std::vector<RateLimitUpdate> updates;
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         Entry &known = entry->second;
-        const units::Duration age = now - known.heardAt;
-        const bool isOver = known.roundsLeft == 0 && !known.limit && age >= LiftedKept;
-        if (isOver || age >= MaxAge) {
+        const units::Duration age = now - known.announcedAt;
+        const bool isLiftExpired
+            = known.roundsLeft == 0 && !known.limit && age >= LiftedLimitRetention;
+        if (isLiftExpired || age >= MaxAge) {
             entry = entries_.erase(entry);
             continue;
         }
-        const bool isDueAgain = known.limit && now - known.toldAt >= TellAgainInterval;
-        if ((known.roundsLeft > 0 || isDueAgain) && news.size() < maxItems) {
+        const bool isResendDue = known.limit && now - known.lastSentAt >= ResendInterval;
+        if ((known.roundsLeft > 0 || isResendDue) && updates.size() < maxItems) {
             known.roundsLeft -= known.roundsLeft > 0 ? 1 : 0;
-            known.toldAt = now;
-            news.push_back({entry->first, known.limit, age});
+            known.lastSentAt = now;
+            updates.push_back({entry->first, known.limit, age});
         }
         ++entry;
     }
-    return news;
+    return updates;
 }
 
 } // namespace monsoongrade::routing
--- a/tests/routing/boundsandleases_test.cpp
+++ b/tests/routing/boundsandleases_test.cpp
@@ -17,18 +17,18 @@
 
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 
-PeerUpdate newsOf(const std::string &ip, PeerState state, units::Duration age = {})
+PeerUpdate updateOf(const std::string &ip, PeerState state, units::Duration age = {})
 {
-    PeerUpdate news;
-    news.ip = ip;
-    news.state = state;
-    news.age = age;
-    return news;
+    PeerUpdate update;
+    update.ip = ip;
+    update.state = state;
+    update.age = age;
+    return update;
 }
 
 } // namespace
 
-TEST_CASE("FreshnessLease.EndsBeforeTheBoundAndNeverGoesBack")
+TEST_CASE("FreshnessLease.ExpiresBeforeTheLimitAndIgnoresEarlierRenewals")
 {
     FreshnessLease lease(seconds(5), milliseconds(1300));
     CHECK_FALSE(lease.isFresh(Start));
@@ -38,21 +38,21 @@
     CHECK_FALSE(lease.isFresh(Start + milliseconds(3700)));
 }
 
-TEST_CASE("RetryAllowance.HostsTogetherStayBelowTheBound")
+TEST_CASE("RetryAllowance.HostsTogetherStayBelowTheLimit")
 {
-    // Six hosts see the same failure and each repeats as much as it may. The sum must stay below
-    // the bound for all requests of the window.
+    // Six hosts see the same failure and each retries as often as it may. The sum must stay below
+    // the limit for all requests of the window.
     const RetryLimit bound{0.2, 52, seconds(10)};
-    int repeats = 0;
+    int retries = 0;
     for (int host = 0; host < 6; ++host) {
         RetryAllowance allowance;
         for (int i = 0; i < 100; ++i)
             allowance.onRequest(Start + milliseconds(i));
         while (allowance.trySpend(bound, 6, Start + seconds(1)))
-            ++repeats;
+            ++retries;
     }
-    CHECK(repeats <= 0.2 * 600 + 52);
-    CHECK(repeats >= 0.7 * (0.2 * 600 + 52));
+    CHECK(retries <= 0.2 * 600 + 52);
+    CHECK(retries >= 0.7 * (0.2 * 600 + 52));
 }
 
 TEST_CASE("RetryAllowance.WindowSlides")
@@ -67,7 +67,7 @@
     CHECK(allowance.hasLeft(bound, 1, Start + seconds(10)));
 }
 
-TEST_CASE("RetryAfter.SpreadsClientsAndStaysWithinAThirdOfTheirTime")
+TEST_CASE("RetryAfter.SpreadsClientsWithinAThirdOfTheirTimeLimit")
 {
     std::set<std::int64_t> times;
     for (int i = 0; i < 200; ++i) {
@@ -83,7 +83,7 @@
     CHECK(times.size() > 100);
 }
 
-TEST_CASE("RetryAfter.OfALongQueueIsTheTimeInWhichItDrains")
+TEST_CASE("RetryAfter.CoversTheDrainTimeOfALongQueue")
 {
     const units::RequestId id("request-1");
     const auto time = retryAfter(milliseconds(1500), id, std::chrono::seconds(9));
@@ -93,7 +93,7 @@
     CHECK(retryAfter(milliseconds(1500), id, milliseconds(900)) <= milliseconds(300));
 }
 
-TEST_CASE("EndpointHealth.TwoBreaksInARowSuspendAndOneTrialDecides")
+TEST_CASE("EndpointHealth.TwoConsecutiveFailuresSuspendUntilATrialSucceeds")
 {
     EndpointHealth health;
     health.onFailure(Start);
@@ -108,7 +108,7 @@
     CHECK(health.accepts(later));
 }
 
-TEST_CASE("EndpointHealth.WhatIsHeldAgainstAnAvoidedEndpointFades")
+TEST_CASE("EndpointHealth.FailuresAndLatencyOfAnAvoidedEndpointDecay")
 {
     EndpointHealth health;
     for (int i = 0; i < 30; ++i) {
@@ -122,27 +122,27 @@
     CHECK(health.slowness(Start + seconds(12)) < 1.6);
 }
 
-TEST_CASE("PeerTable.HostIsLostAfterSixMissedRoundsAndFoundAgain")
+TEST_CASE("PeerTable.HostIsLostAfterSixMissedRoundsAndReturns")
 {
     PeerTable table;
-    table.receive(newsOf("10.0.0.2", PeerState::Serving), Start);
+    table.receive(updateOf("10.0.0.2", PeerState::Serving), Start);
     CHECK(table.live(Start + milliseconds(1499)).size() == 1);
     CHECK(table.live(Start + milliseconds(1500)).empty());
     CHECK(table.recipients(Start + seconds(60)).size() == 1);
-    table.receive(newsOf("10.0.0.2", PeerState::Leaving), Start + seconds(60));
+    table.receive(updateOf("10.0.0.2", PeerState::Leaving), Start + seconds(60));
     CHECK(table.live(Start + seconds(60)).at(0).state == PeerState::Leaving);
 }
 
-TEST_CASE("PeerTable.OldNewsFromAThirdHostChangesNothing")
+TEST_CASE("PeerTable.OutdatedUpdateFromAThirdHostIsIgnored")
 {
-    // A host says that it leaves; a third one still passes on that it served a moment ago.
+    // A host reports that it is leaving; a third host still forwards its earlier state.
     PeerTable table;
-    table.receive(newsOf("10.0.0.2", PeerState::Leaving), Start);
-    table.receive(newsOf("10.0.0.2", PeerState::Serving, milliseconds(250)), Start);
+    table.receive(updateOf("10.0.0.2", PeerState::Leaving), Start);
+    table.receive(updateOf("10.0.0.2", PeerState::Serving, milliseconds(250)), Start);
     CHECK(table.live(Start).at(0).state == PeerState::Leaving);
 }
 
-TEST_CASE("PeerTable.SeedThatNeverSpokeIsToldButNotTakenForAHost")
+TEST_CASE("PeerTable.UnreportedSeedIsARecipientButNotALiveHost")
 {
     PeerTable table;
     table.addSeed("10.0.0.9");
--- a/tests/routing/callpacer_test.cpp
+++ b/tests/routing/callpacer_test.cpp
@@ -6,16 +6,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("CallPacer.FirstCallsGoAtOnceAndTheRestKeepToTheInterval")
+TEST_CASE("CallPacer.FirstCallsAreImmediateAndLaterOnesKeepTheInterval")
 {
-    // A hundred endpoints register one after the other: the first changes are read at once, then
-    // several come with each call.
-    routing::CallPacer pace(3, milliseconds(250));
+    // A hundred endpoints register one after the other: the first changes are read immediately,
+    // later calls return several changes each.
+    routing::CallPacer pacer(3, milliseconds(250));
     units::TimePoint now{seconds(10)};
     int calls = 0;
     const units::TimePoint end = now + seconds(10);
     while (now < end) {
-        const units::Duration delay = pace.delay(now);
+        const units::Duration delay = pacer.delay(now);
         if (++calls <= 3)
             CHECK(delay == units::Duration::zero());
         CHECK(delay <= milliseconds(250));
@@ -24,13 +24,13 @@
     CHECK(calls <= 44);
 }
 
-TEST_CASE("CallPacer.CallsAfterAQuietTimeGoAtOnceAgain")
+TEST_CASE("CallPacer.CallsAfterAnIdlePeriodAreImmediateAgain")
 {
-    routing::CallPacer pace(3, milliseconds(250));
+    routing::CallPacer pacer(3, milliseconds(250));
     units::TimePoint now{seconds(10)};
     for (int i = 0; i < 10; ++i)
-        now += pace.delay(now);
+        now += pacer.delay(now);
     now += seconds(1);
-    CHECK(pace.delay(now) == units::Duration::zero());
-    CHECK(pace.delay(now) == units::Duration::zero());
+    CHECK(pacer.delay(now) == units::Duration::zero());
+    CHECK(pacer.delay(now) == units::Duration::zero());
 }
--- a/tests/routing/crashweather_test.cpp
+++ b/tests/routing/crashsimulation_test.cpp
@@ -11,8 +11,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Endpoints that crash while many requests run there, seen by hosts that each have only a part of
-// them, in virtual time.
+// Simulates in virtual time endpoints that crash while running many requests, observed by hosts
+// that each sent only some of the requests.
 
 namespace {
 
@@ -43,25 +43,25 @@
 struct Counts
 {
     int served = 0;
-    int broken = 0; // sends of innocent requests that a crash broke off
+    int interrupted = 0; // sends of innocent requests that a crash interrupted
     int refused = 0; // innocent requests
     int crashes = 0;
 };
 
-class Weather
+class CrashSimulation
 {
 public:
-    explicit Weather(unsigned seed)
+    explicit CrashSimulation(unsigned seed)
         : random_(seed)
-        , ledgers_(Hosts)
-        , upFrom_(Endpoints)
-        , starts_(Endpoints, 1)
+        , trackers_(Hosts)
+        , availableFrom_(Endpoints)
+        , incarnations_(Endpoints, 1)
     {
     }
 
     const Counts &counts() const { return counts_; }
 
-    void playFor(seconds time, bool withFatalRequest)
+    void runFor(seconds time, bool withFatalRequest)
     {
         const units::TimePoint end = now_ + time;
         for (; now_ < end; now_ += Step) {
@@ -69,7 +69,7 @@
                 send({RequestIdentity{units::WorkspaceName("fatal"), RequestDigest(1)}});
             for (int i = 0; i < ArrivalsPerStep; ++i)
                 send({RequestIdentity{units::WorkspaceName("w"), RequestDigest(++lastDigest_)}});
-            noteFirstEvents();
+            reportFirstEvents();
             endRuns();
             if (isEvery(GossipInterval))
                 gossip();
@@ -78,20 +78,20 @@
     void crash(std::size_t endpoint)
     {
         ++counts_.crashes;
-        upFrom_[endpoint] = now_ + TimeToRestart;
-        const std::vector<Run> broken = breakRuns(endpoint);
-        ++starts_[endpoint];
-        sendAgain(broken);
+        availableFrom_[endpoint] = now_ + TimeToRestart;
+        const std::vector<Run> interrupted = interruptRuns(endpoint);
+        ++incarnations_[endpoint];
+        resend(interrupted);
     }
-    // All connections break; the endpoints live on.
+    // All connections break; the endpoints keep running.
     void breakAllConnections()
     {
-        std::vector<Run> broken;
+        std::vector<Run> interrupted;
         for (std::size_t endpoint = 0; endpoint < Endpoints; ++endpoint) {
-            const std::vector<Run> there = breakRuns(endpoint);
-            broken.insert(broken.end(), there.begin(), there.end());
+            const std::vector<Run> there = interruptRuns(endpoint);
+            interrupted.insert(interrupted.end(), there.begin(), there.end());
         }
-        sendAgain(broken);
+        resend(interrupted);
     }
 
 private:
@@ -100,31 +100,31 @@
     {
         return now_.time_since_epoch() % interval == units::Duration::zero();
     }
-    EndpointInstance startOf(std::size_t endpoint) const
+    EndpointInstance instanceOf(std::size_t endpoint) const
     {
-        return {units::EndpointId(std::to_string(endpoint)), Incarnation(starts_[endpoint])};
+        return {units::EndpointId(std::to_string(endpoint)), Incarnation(incarnations_[endpoint])};
     }
 
     void send(Run run)
     {
         run.host = random_() % Hosts;
-        if (ledgers_[run.host].quarantineRemaining(run.request, now_)) {
+        if (trackers_[run.host].quarantineRemaining(run.request, now_)) {
             counts_.refused += isFatal(run.request) ? 0 : 1;
             return;
         }
         do
             run.endpoint = random_() % Endpoints;
-        while (upFrom_[run.endpoint] > now_);
+        while (availableFrom_[run.endpoint] > now_);
         ++run.sends;
         run.sentAt = now_;
         run.endsAt = now_ + (isFatal(run.request) ? TimeToCrash : RunTime);
         runs_.push_back(run);
     }
-    void noteFirstEvents()
+    void reportFirstEvents()
     {
         for (const Run &run : runs_) {
             if (!isFatal(run.request) && run.sentAt + TimeToFirstEvent == now_)
-                ledgers_[run.host].onAnswered(startOf(run.endpoint), run.sentAt);
+                trackers_[run.host].onAnswered(instanceOf(run.endpoint), run.sentAt);
         }
     }
     void endRuns()
@@ -139,7 +139,7 @@
                 ended.push_back(run.endpoint);
             } else {
                 ++counts_.served;
-                ledgers_[run.host].onCompleted(run.request, now_);
+                trackers_[run.host].onCompleted(run.request, now_);
             }
         }
         runs_ = std::move(running);
@@ -147,37 +147,37 @@
             crash(endpoint);
     }
     // Ends all runs at the endpoint; returns those of innocent requests.
-    std::vector<Run> breakRuns(std::size_t endpoint)
+    std::vector<Run> interruptRuns(std::size_t endpoint)
     {
-        std::vector<Run> broken;
+        std::vector<Run> interrupted;
         const auto isThere = [endpoint](const Run &run) {
             return run.endpoint == endpoint;
         };
         for (const Run &run : runs_) {
             if (!isThere(run))
                 continue;
-            ledgers_[run.host].onCrash(run.request, startOf(endpoint), now_);
+            trackers_[run.host].onCrash(run.request, instanceOf(endpoint), now_);
             if (!isFatal(run.request))
-                broken.push_back(run);
+                interrupted.push_back(run);
         }
         runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isThere), runs_.end());
-        counts_.broken += int(broken.size());
-        return broken;
+        counts_.interrupted += int(interrupted.size());
+        return interrupted;
     }
-    void sendAgain(const std::vector<Run> &broken)
+    void resend(const std::vector<Run> &interrupted)
     {
-        for (const Run &run : broken) {
+        for (const Run &run : interrupted) {
             if (run.sends < MaxSends)
                 send(run);
         }
     }
     void gossip()
     {
-        for (CrashTracker &from : ledgers_) {
-            for (const CrashUpdate &news : from.takeUpdates(DatagramItems, now_)) {
-                for (CrashTracker &to : ledgers_) {
+        for (CrashTracker &from : trackers_) {
+            for (const CrashUpdate &update : from.takeUpdates(DatagramItems, now_)) {
+                for (CrashTracker &to : trackers_) {
                     if (&to != &from)
-                        to.receive(news, now_);
+                        to.receive(update, now_);
                 }
             }
         }
@@ -185,71 +185,74 @@
 
     std::mt19937 random_;
     units::TimePoint now_{std::chrono::hours(1)};
-    std::vector<CrashTracker> ledgers_;
-    std::vector<units::TimePoint> upFrom_;
-    std::vector<std::int64_t> starts_;
+    std::vector<CrashTracker> trackers_;
+    std::vector<units::TimePoint> availableFrom_;
+    std::vector<std::int64_t> incarnations_;
     std::vector<Run> runs_;
     std::uint64_t lastDigest_ = 1;
     Counts counts_;
 };
 
 constexpr unsigned Seeds = 50;
-// Of the innocent requests that are served, so many may be refused.
+// Limit for refused innocent requests, as a share of the served ones.
 constexpr double MaxRefusedShare = 0.001;
 
 } // namespace
 
-// Guards against a request that goes on crashing endpoints, and against refusing those beside it.
-TEST_CASE("CrashWeather.OneFatalRequestIsStoppedAndOthersAreServed")
+// Guards against a request that keeps crashing endpoints, and against refusing those beside it.
+TEST_CASE("CrashSimulation.OneFatalRequestIsStoppedAndOthersAreServed")
 {
     Counts all;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
-        Weather weather(seed);
-        weather.playFor(seconds(20), true);
-        CHECK_MESSAGE(weather.counts().crashes <= 6, "seed ", seed);
-        all.served += weather.counts().served;
-        all.refused += weather.counts().refused;
-        all.broken += weather.counts().broken;
+        CrashSimulation simulation(seed);
+        simulation.runFor(seconds(20), true);
+        CHECK_MESSAGE(simulation.counts().crashes <= 6, "seed ", seed);
+        all.served += simulation.counts().served;
+        all.refused += simulation.counts().refused;
+        all.interrupted += simulation.counts().interrupted;
     }
-    MESSAGE(all.served, " served, ", all.broken, " sends broken off, ", all.refused, " refused");
+    MESSAGE(all.served, " served, ", all.interrupted, " sends interrupted, ", all.refused,
+            " refused");
     CHECK(all.refused <= MaxRefusedShare * all.served);
 }
 
 // Guards against quarantines when a failure domain is lost and no request is to blame.
-TEST_CASE("CrashWeather.EndpointsThatCrashTogetherQuarantineFew")
+TEST_CASE("CrashSimulation.SimultaneousCrashesQuarantineFewRequests")
 {
     Counts all;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
-        Weather weather(seed);
+        CrashSimulation simulation(seed);
         for (int loss = 0; loss < 3; ++loss) {
-            weather.playFor(seconds(2), false);
+            simulation.runFor(seconds(2), false);
             for (std::size_t endpoint = 0; endpoint < Endpoints / 3; ++endpoint)
-                weather.crash((endpoint + std::size_t(loss)) % Endpoints);
+                simulation.crash((endpoint + std::size_t(loss)) % Endpoints);
         }
-        weather.playFor(seconds(10), false);
-        all.served += weather.counts().served;
-        all.refused += weather.counts().refused;
-        all.broken += weather.counts().broken;
+        simulation.runFor(seconds(10), false);
+        all.served += simulation.counts().served;
+        all.refused += simulation.counts().refused;
+        all.interrupted += simulation.counts().interrupted;
     }
-    MESSAGE(all.served, " served, ", all.broken, " sends broken off, ", all.refused, " refused");
+    MESSAGE(all.served, " served, ", all.interrupted, " sends interrupted, ", all.refused,
+            " refused");
     CHECK(all.refused <= MaxRefusedShare * all.served);
 }
 
-// Guards against quarantines when connections are reset again and again.
-TEST_CASE("CrashWeather.ResetConnectionsQuarantineFew")
+// Guards against quarantines when connections are reset repeatedly.
+TEST_CASE("CrashSimulation.RepeatedConnectionResetsQuarantineFewRequests")
 {
     Counts all;
     for (unsigned seed = 1; seed <= Seeds; ++seed) {
-        Weather weather(seed);
+        CrashSimulation simulation(seed);
         for (int reset = 0; reset < 5; ++reset) {
-            weather.playFor(seconds(1), false);
-            weather.breakAllConnections();
+            simulation.runFor(seconds(1), false);
+            simulation.breakAllConnections();
         }
-        weather.playFor(seconds(5), false);
-        all.served += weather.counts().served;
-        all.refused += weather.counts().refused;
-        all.broken += weather.counts().broken;
+        simulation.runFor(seconds(5), false);
+        all.served += simulation.counts().served;
+        all.refused += simulation.counts().refused;
+        all.interrupted += simulation.counts().interrupted;
     }
-    MESSAGE(all.served, " served, ", all.broken, " sends broken off, ", all.refused, " refused");
+    MESSAGE(all.served, " served, ", all.interrupted, " sends interrupted, ", all.refused,
+            " refused");
     CHECK(all.refused <= MaxRefusedShare * all.served);
 }
--- a/tests/routing/crashtracker_test.cpp
+++ b/tests/routing/crashtracker_test.cpp
@@ -29,29 +29,29 @@
 
 const RequestIdentity Fatal = requestNumber(1);
 
-// Ledgers of several hosts, with the time that they share.
+// Crash trackers of several hosts, with a shared clock.
 struct Hosts
 {
     explicit Hosts(std::size_t count)
-        : ledgers(count)
+        : trackers(count)
     {
     }
 
     void crash(std::size_t host, int endpoint, const RequestIdentity &request = Fatal)
     {
-        ledgers[host].onCrash(request, endpointNumber(endpoint), now);
+        trackers[host].onCrash(request, endpointNumber(endpoint), now);
     }
     bool isQuarantined(std::size_t host, const RequestIdentity &request = Fatal) const
     {
-        return ledgers[host].quarantineRemaining(request, now).has_value();
+        return trackers[host].quarantineRemaining(request, now).has_value();
     }
-    // Each host tells all others once.
+    // Each host sends its updates to all others once.
     void gossip()
     {
-        for (CrashTracker &from : ledgers) {
-            const std::vector<CrashUpdate> news = from.takeUpdates(DatagramItems, now);
-            for (CrashTracker &to : ledgers) {
-                for (const CrashUpdate &each : news) {
+        for (CrashTracker &from : trackers) {
+            const std::vector<CrashUpdate> updates = from.takeUpdates(DatagramItems, now);
+            for (CrashTracker &to : trackers) {
+                for (const CrashUpdate &each : updates) {
                     if (&to != &from)
                         to.receive(each, now);
                 }
@@ -60,13 +60,13 @@
         now += milliseconds(250);
     }
 
-    std::vector<CrashTracker> ledgers;
+    std::vector<CrashTracker> trackers;
     units::TimePoint now{hours(1)};
 };
 
 } // namespace
 
-TEST_CASE("CrashTracker.ThirdCrashedEndpointPutsARequestInQuarantine")
+TEST_CASE("CrashTracker.ThirdCrashedEndpointQuarantinesTheRequest")
 {
     Hosts hosts(1);
     hosts.crash(0, 1);
@@ -78,7 +78,7 @@
     CHECK_FALSE(hosts.isQuarantined(0, {units::WorkspaceName("w2"), Fatal.digest}));
 }
 
-// Guards against counting one crash several times, when copies of a request ran there.
+// Guards against counting one crash several times when the endpoint ran copies of a request.
 TEST_CASE("CrashTracker.CrashOfOneEndpointCountsOnce")
 {
     Hosts hosts(2);
@@ -93,15 +93,15 @@
 
 TEST_CASE("CrashTracker.RestartedEndpointCountsAgain")
 {
-    CrashTracker ledger;
+    CrashTracker tracker;
     const units::TimePoint now{hours(1)};
     for (int start = 1; start <= 3; ++start)
-        ledger.onCrash(Fatal, {units::EndpointId("e1"), Incarnation(start)}, now);
-    CHECK(ledger.quarantineRemaining(Fatal, now).has_value());
+        tracker.onCrash(Fatal, {units::EndpointId("e1"), Incarnation(start)}, now);
+    CHECK(tracker.quarantineRemaining(Fatal, now).has_value());
 }
 
 // Guards against hosts that each see too few crashes to act on.
-TEST_CASE("CrashTracker.CrashesThatDifferentHostsSawCountTogether")
+TEST_CASE("CrashTracker.CrashesObservedByDifferentHostsAddUp")
 {
     Hosts hosts(8);
     for (int host = 0; host < 3; ++host)
@@ -120,24 +120,24 @@
         hosts.crash(0, endpoint);
     hosts.gossip();
     REQUIRE(hosts.isQuarantined(2));
-    hosts.ledgers[1].onCompleted(Fatal, hosts.now);
+    hosts.trackers[1].onCompleted(Fatal, hosts.now);
     hosts.gossip();
     hosts.gossip();
     for (std::size_t host = 0; host < 3; ++host)
         CHECK_FALSE(hosts.isQuarantined(host));
-    // News of the earlier crashes, late or repeated, change nothing.
+    // Late or repeated updates about the earlier crashes are ignored.
     for (int round = 0; round < 10; ++round)
         hosts.gossip();
     for (std::size_t host = 0; host < 3; ++host)
         CHECK_FALSE(hosts.isQuarantined(host));
 }
 
-// Guards against a quarantine of a request that many callers send, when several endpoints are lost
-// at once; no attempt could clear it there.
-TEST_CASE("CrashTracker.RequestThatWasAnsweredShortlyBeforeIsNotQuarantined")
+// Guards against a quarantine of a request that many callers send when several endpoints are lost
+// at once; no attempt could clear it then.
+TEST_CASE("CrashTracker.RecentlyCompletedRequestIsNotQuarantined")
 {
     Hosts hosts(3);
-    hosts.ledgers[1].onCompleted(Fatal, hosts.now);
+    hosts.trackers[1].onCompleted(Fatal, hosts.now);
     hosts.now += seconds(20);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
@@ -145,7 +145,7 @@
         hosts.gossip();
     for (std::size_t host = 0; host < 3; ++host)
         CHECK_FALSE(hosts.isQuarantined(host));
-    // What once was answered may become fatal, as with a new version of the engine.
+    // A completed request may crash endpoints later, as with a new version of the engine.
     hosts.now += minutes(2);
     for (int endpoint = 10; endpoint < 13; ++endpoint)
         hosts.crash(0, endpoint);
@@ -153,37 +153,37 @@
     CHECK(hosts.isQuarantined(2));
 }
 
-// Guards against a quarantine by connections that broke for another reason, as in a network fault.
-TEST_CASE("CrashTracker.EndpointThatAnswersLaterHadNotCrashed")
+// Guards against quarantines after connections broke for another reason, as in a network fault.
+TEST_CASE("CrashTracker.EndpointThatRespondsLaterIsNotCountedAsCrashed")
 {
     Hosts hosts(3);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
     hosts.gossip();
     REQUIRE(hosts.isQuarantined(1));
-    // An answer to something that was sent before the break proves nothing.
-    hosts.ledgers[1].onAnswered(endpointNumber(0), hosts.now - seconds(1));
+    // A response to something that was sent before the connection broke proves nothing.
+    hosts.trackers[1].onAnswered(endpointNumber(0), hosts.now - seconds(1));
     CHECK(hosts.isQuarantined(1));
-    hosts.ledgers[1].onAnswered(endpointNumber(0), hosts.now);
+    hosts.trackers[1].onAnswered(endpointNumber(0), hosts.now);
     for (int round = 0; round < 10; ++round)
         hosts.gossip();
     for (std::size_t host = 0; host < 3; ++host)
         CHECK_FALSE(hosts.isQuarantined(host));
-    // It crashes after all, later.
+    // A later crash of the endpoint counts.
     hosts.crash(2, 0);
     hosts.gossip();
     CHECK(hosts.isQuarantined(0));
 }
 
-// Guards against a restarted endpoint that clears the request which crashed the process before it.
-TEST_CASE("CrashTracker.AnswerLongAfterTheBreakProvesNothing")
+// Guards against responses of a restarted endpoint that clear the request which crashed it.
+TEST_CASE("CrashTracker.LateResponseDoesNotClearTheEndpoint")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
     hosts.now += seconds(2);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
-        hosts.ledgers[0].onAnswered(endpointNumber(endpoint), hosts.now);
+        hosts.trackers[0].onAnswered(endpointNumber(endpoint), hosts.now);
     CHECK(hosts.isQuarantined(0));
 }
 
@@ -192,47 +192,47 @@
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
-    const auto first = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
+    const auto first = hosts.trackers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(first);
     hosts.now += *first;
-    hosts.ledgers[0].takeUpdates(DatagramItems, hosts.now);
+    hosts.trackers[0].takeUpdates(DatagramItems, hosts.now);
     CHECK_FALSE(hosts.isQuarantined(0));
     hosts.now += minutes(1);
     hosts.crash(0, 4);
-    const auto second = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
+    const auto second = hosts.trackers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(second);
     CHECK(*second == 2 * *first);
 }
 
-TEST_CASE("CrashTracker.LongestQuarantineIsBounded")
+TEST_CASE("CrashTracker.QuarantineTimeIsBounded")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 1000; ++endpoint)
         hosts.crash(0, endpoint);
-    const auto left = hosts.ledgers[0].quarantineRemaining(Fatal, hosts.now);
+    const auto left = hosts.trackers[0].quarantineRemaining(Fatal, hosts.now);
     REQUIRE(left);
     CHECK(*left <= hours(24));
 }
 
-// Guards against a host that returns after a cut, or restarts, and sends the request on.
-TEST_CASE("CrashTracker.QuarantineIsToldAgainLongAfterwards")
+// Guards against a host that sends a quarantined request after a network partition or a restart.
+TEST_CASE("CrashTracker.QuarantineIsResentToReturningHosts")
 {
     Hosts hosts(2);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
     for (int round = 0; round < 100; ++round)
         hosts.gossip();
-    hosts.ledgers[1] = CrashTracker();
+    hosts.trackers[1] = CrashTracker();
     hosts.gossip();
     CHECK(hosts.isQuarantined(1));
 
     CrashTracker started;
-    for (const CrashUpdate &news : hosts.ledgers[0].quarantineNews(DatagramItems, hosts.now))
-        started.receive(news, hosts.now);
+    for (const CrashUpdate &update : hosts.trackers[0].quarantineNews(DatagramItems, hosts.now))
+        started.receive(update, hosts.now);
     CHECK(started.quarantineRemaining(Fatal, hosts.now).has_value());
 }
 
-// Guards against quarantines that reach other hosts late because much else is to be told.
+// Guards against quarantines that reach other hosts late because of many other pending updates.
 TEST_CASE("CrashTracker.QuarantineReachesAllHostsWithinThreeSecondsOfManyCrashes")
 {
     Hosts hosts(3);
@@ -246,56 +246,56 @@
     CHECK(hosts.isQuarantined(2));
 }
 
-// Guards against memory that grows with the requests seen under crashes.
-TEST_CASE("CrashTracker.RecordsAreBoundedAndQuarantinedOnesStayLongest")
+// Guards against memory use that grows with the number of requests running during crashes.
+TEST_CASE("CrashTracker.RecordsAreBoundedAndQuarantinedOnesEvictedLast")
 {
     Hosts hosts(1);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
         hosts.crash(0, endpoint);
     for (std::uint64_t other = 2; other < 10000; ++other)
         hosts.crash(0, 0, requestNumber(other));
-    CHECK(hosts.ledgers[0].size() <= 4096);
+    CHECK(hosts.trackers[0].size() <= 4096);
     CHECK(hosts.isQuarantined(0));
 }
 
-TEST_CASE("CrashTracker.RecordsAreForgotten")
+TEST_CASE("CrashTracker.OldRecordsAreRemoved")
 {
     Hosts hosts(1);
     for (std::uint64_t other = 2; other < 100; ++other)
         hosts.crash(0, 0, requestNumber(other));
     hosts.now += minutes(11);
-    hosts.ledgers[0].takeUpdates(DatagramItems, hosts.now);
-    CHECK(hosts.ledgers[0].size() == 0);
+    hosts.trackers[0].takeUpdates(DatagramItems, hosts.now);
+    CHECK(hosts.trackers[0].size() == 0);
 }
 
-// Guards against hosts that keep different opinions after lost, repeated and reordered news.
-TEST_CASE("CrashTracker.NewsInAnyOrderGivesTheSameQuarantine")
+// Guards against hosts whose states stay different after lost, repeated and reordered updates.
+TEST_CASE("CrashTracker.UpdatesInAnyOrderGiveTheSameQuarantine")
 {
     CHECK(rc::check([] {
         const units::TimePoint start{hours(1)};
         std::vector<std::pair<CrashUpdate, units::TimePoint>> events;
         const auto count = *rc::gen::inRange(1, 9);
         for (int i = 0; i < count; ++i) {
-            CrashUpdate news;
-            news.request = requestNumber(std::uint64_t(*rc::gen::inRange(1, 3)));
-            news.kind = *rc::gen::inRange(0, 4) == 0 ? CrashUpdate::Kind::Completed
-                                                     : CrashUpdate::Kind::Crashed;
-            news.endpoint = endpointNumber(i);
-            events.emplace_back(news, start + milliseconds(i));
+            CrashUpdate update;
+            update.request = requestNumber(std::uint64_t(*rc::gen::inRange(1, 3)));
+            update.kind = *rc::gen::inRange(0, 4) == 0 ? CrashUpdate::Kind::Completed
+                                                       : CrashUpdate::Kind::Crashed;
+            update.endpoint = endpointNumber(i);
+            events.emplace_back(update, start + milliseconds(i));
         }
         const units::TimePoint now = start + seconds(1);
-        // A host keeps a completion only if it knows of a crash, so each knows of one at first.
-        const auto tell = [&](CrashTracker &ledger, const auto &ordered) {
+        // A completion is recorded only if a crash is known, so each tracker starts with one.
+        const auto deliver = [&](CrashTracker &tracker, const auto &ordered) {
             for (std::uint64_t number = 1; number < 3; ++number)
-                ledger.onCrash(requestNumber(number), endpointNumber(-1), start - milliseconds(1));
-            for (const auto &[news, at] : ordered) {
-                CrashUpdate told = news;
-                told.age = now - at;
-                ledger.receive(told, now);
+                tracker.onCrash(requestNumber(number), endpointNumber(-1), start - milliseconds(1));
+            for (const auto &[update, at] : ordered) {
+                CrashUpdate item = update;
+                item.age = now - at;
+                tracker.receive(item, now);
             }
         };
         CrashTracker inOrder;
-        tell(inOrder, events);
+        deliver(inOrder, events);
         const auto shuffled = *rc::gen::exec([events] {
             auto mixed = events;
             for (std::size_t i = mixed.size(); i > 1; --i)
@@ -305,7 +305,7 @@
             return mixed;
         });
         CrashTracker mixed;
-        tell(mixed, shuffled);
+        deliver(mixed, shuffled);
         for (std::uint64_t number = 1; number < 3; ++number)
             RC_ASSERT(inOrder.quarantineRemaining(requestNumber(number), now)
                       == mixed.quarantineRemaining(requestNumber(number), now));
--- a/tests/routing/endpointlimits_test.cpp
+++ b/tests/routing/endpointlimits_test.cpp
@@ -20,14 +20,14 @@
 const EndpointInstance Endpoint{units::EndpointId("e1"), Incarnation(7)};
 const units::TimePoint Start{hours(1)};
 
-// What an endpoint that named a limit may get in a span.
+// Number of requests that an endpoint with this limit may receive in a span.
 int maxArrivals(double limit)
 {
     return int(1.5 * limit * double(Span.count()) + 5);
 }
 
-// Places as much as the hosts' paces allow, one look each millisecond, and returns the largest
-// number of placements in any span.
+// Places as many requests as the hosts' rate limiters allow, checking each millisecond, and returns
+// the largest number of placements in any span.
 int mostInSpan(std::vector<EndpointRateLimiter> &hosts, double share, seconds time)
 {
     std::vector<units::TimePoint> placed;
@@ -50,10 +50,10 @@
 
 TEST_CASE("EndpointRateLimiter.WithoutALimitEverythingIsAllowed")
 {
-    EndpointRateLimiter pace;
+    EndpointRateLimiter limiter;
     for (int i = 0; i < 1000; ++i) {
-        CHECK(pace.allows(1, Start));
-        pace.onPlaced(1, Start);
+        CHECK(limiter.allows(1, Start));
+        limiter.onPlaced(1, Start);
     }
 }
 
@@ -69,7 +69,7 @@
 }
 
 // Guards against hosts that each use the whole limit, or all send at the same moment.
-TEST_CASE("EndpointRateLimiter.HostsThatPlaceForThemselvesStayWithinTheLimitTogether")
+TEST_CASE("EndpointRateLimiter.HostsThatPlaceIndependentlyTogetherKeepTheLimit")
 {
     for (const std::size_t count : {2, 6, 8, 30, 100}) {
         for (const double limit : {0.5, 1.0, 1.6, 5.0, 20.0}) {
@@ -83,8 +83,8 @@
     }
 }
 
-// Guards against unused parts that add up: hosts that had nothing to place and then all do at once.
-TEST_CASE("EndpointRateLimiter.HostsThatWereIdleDoNotSendAllAtOnce")
+// Guards against unused shares that add up: hosts that were idle and then all place at once.
+TEST_CASE("EndpointRateLimiter.IdleHostsDoNotSendAllAtOnce")
 {
     for (const std::size_t count : {6, 8, 30, 100}) {
         for (const double limit : {0.5, 1.0, 1.9, 5.0}) {
@@ -97,8 +97,8 @@
     }
 }
 
-// Guards against a limit exceeded while a placing host is replaced and the others place alone.
-TEST_CASE("EndpointRateLimiter.LossOfThePlacingHostKeepsTheLimit")
+// Guards against exceeding a limit while the coordinator is replaced and each host places alone.
+TEST_CASE("EndpointRateLimiter.LimitIsKeptWhenTheCoordinatorIsLost")
 {
     const double limit = 1.9;
     constexpr std::size_t Count = 12;
@@ -129,8 +129,8 @@
     }
 }
 
-// Guards against an endpoint that named 0 never being asked again.
-TEST_CASE("EndpointRateLimiter.LimitOfZeroStillLetsATrialThrough")
+// Guards against never sending to an endpoint again after it announced a limit of 0.
+TEST_CASE("EndpointRateLimiter.LimitOfZeroAllowsATrialRequest")
 {
     std::vector<EndpointRateLimiter> hosts(1);
     hosts[0].setLimit(0, 0.5, Start);
@@ -138,32 +138,32 @@
     CHECK(hosts[0].allows(1, Start + minutes(1)));
 }
 
-TEST_CASE("RateLimitTable.LaterAnswerDecidesWhateverOrderNewsComesIn")
+TEST_CASE("RateLimitTable.LatestResponseWinsInAnyOrderOfUpdates")
 {
-    RateLimitTable board;
-    CHECK_FALSE(board.update(Endpoint, std::nullopt, Start));
-    CHECK(board.update(Endpoint, 2.0, Start));
-    CHECK(board.update(Endpoint, std::nullopt, Start + seconds(1)));
-    CHECK_FALSE(board.update(Endpoint, 2.0, Start));
-    const auto news = board.takeUpdates(DatagramItems, Start + seconds(1));
-    REQUIRE(news.size() == 1);
-    CHECK_FALSE(news[0].limit.has_value());
+    RateLimitTable table;
+    CHECK_FALSE(table.update(Endpoint, std::nullopt, Start));
+    CHECK(table.update(Endpoint, 2.0, Start));
+    CHECK(table.update(Endpoint, std::nullopt, Start + seconds(1)));
+    CHECK_FALSE(table.update(Endpoint, 2.0, Start));
+    const auto updates = table.takeUpdates(DatagramItems, Start + seconds(1));
+    REQUIRE(updates.size() == 1);
+    CHECK_FALSE(updates[0].limit.has_value());
 }
 
-// Guards against a host that was away and never learns of a limit in force.
-TEST_CASE("RateLimitTable.LimitInForceIsToldAgainAndALiftedOneForgotten")
+// Guards against a host that was disconnected and never learns of a limit in force.
+TEST_CASE("RateLimitTable.LimitInForceIsResentAndALiftedOneRemoved")
 {
-    RateLimitTable board;
-    board.update(Endpoint, 2.0, Start);
+    RateLimitTable table;
+    table.update(Endpoint, 2.0, Start);
     units::TimePoint now = Start;
     for (; now < Start + seconds(20); now += milliseconds(250))
-        board.takeUpdates(DatagramItems, now);
-    std::size_t told = 0;
+        table.takeUpdates(DatagramItems, now);
+    std::size_t sent = 0;
     for (; now < Start + seconds(23); now += milliseconds(250))
-        told += board.takeUpdates(DatagramItems, now).size();
-    CHECK(told >= 1);
-    board.update(Endpoint, std::nullopt, now);
+        sent += table.takeUpdates(DatagramItems, now).size();
+    CHECK(sent >= 1);
+    table.update(Endpoint, std::nullopt, now);
     for (; now < Start + seconds(60); now += milliseconds(250))
-        board.takeUpdates(DatagramItems, now);
-    CHECK(board.size() == 0);
+        table.takeUpdates(DatagramItems, now);
+    CHECK(table.size() == 0);
 }
--- a/tests/routing/endpointregistry_test.cpp
+++ b/tests/routing/endpointregistry_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("EndpointRegistry.RemovedEndpointIsGoneAtOnceInQuietTimes")
+TEST_CASE("EndpointRegistry.RemovedEndpointIsDroppedAtOnceWithoutAnOutage")
 {
     EndpointRegistry registry;
     registry.update(endpoint("a"));
@@ -36,7 +36,7 @@
     CHECK(available(registry) == 0);
 }
 
-TEST_CASE("EndpointRegistry.EntryMissingAfterAnOutageIsKeptUntilItsTime")
+TEST_CASE("EndpointRegistry.EntryMissingAfterAnOutageIsKeptUntilItsDeadline")
 {
     EndpointRegistry registry;
     registry.update(endpoint("a"));
@@ -51,22 +51,22 @@
     CHECK(available(registry) == 1);
 }
 
-TEST_CASE("EndpointRegistry.LeavingIsToldOnceSoThatConnectionsCanClose")
+TEST_CASE("EndpointRegistry.LeavingEndpointIsReportedOnce")
 {
-    int told = 0;
-    EndpointRegistry registry([&](const EndpointStatus &) { ++told; });
+    int reports = 0;
+    EndpointRegistry registry([&](const EndpointStatus &) { ++reports; });
     registry.update(endpoint("a"));
     DiscoveredEndpoint draining = endpoint("a");
     draining.draining = true;
     registry.update(draining);
     registry.update(draining);
     registry.remove(units::EndpointId("a"), Start, {});
-    CHECK(told == 1);
+    CHECK(reports == 1);
 }
 
-TEST_CASE("EndpointRegistry.RestartedEndpointStartsWithAFreshRecord")
+TEST_CASE("EndpointRegistry.RestartedEndpointStartsWithNewHealth")
 {
-    // The endpoint crashed and started again under its id. Its old failures must not count.
+    // The endpoint crashed and restarted under the same id. Its old failures must not count.
     EndpointRegistry registry;
     registry.update(endpoint("a", 1));
     const auto before = registry.available(units::PoolName("p"))[0];
@@ -79,8 +79,8 @@
     CHECK(after->health.accepts(Start));
 }
 
-// Guards against a release that costs each host the square of the number of endpoints.
-TEST_CASE("EndpointRegistry.OneChangeLooksAtTheLogarithmOfAllEndpoints")
+// Guards against a rollout whose cost for each host is quadratic in the number of endpoints.
+TEST_CASE("EndpointRegistry.CostOfOneChangeIsLogarithmicInTheNumberOfEndpoints")
 {
     for (const int size : {600, 3000, 10000, 20000}) {
         EndpointRegistry registry;
--- a/tests/routing/failuredecision_test.cpp
+++ b/tests/routing/failuredecision_test.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("FailureDecision.NothingThatMustNotRunTwiceIsSentAfterItMayHaveRun")
+TEST_CASE("FailureDecision.RequestThatMustNotRunTwiceIsNotResentOnceItMayHaveRun")
 {
-    const bool holds = rc::check("sends again only what did not run or may run twice", [] {
+    const bool holds = rc::check("resends only requests that did not run or may run twice", [] {
         AttemptFailure failure;
         failure.mayHaveRun = *rc::gen::arbitrary<bool>();
         failure.mayRunTwice = *rc::gen::arbitrary<bool>();
@@ -46,12 +46,12 @@
     CHECK(holds);
 }
 
-TEST_CASE("FailureDecision.ProvenNotRunIsSentAgainWhateverItsKind")
+TEST_CASE("FailureDecision.RequestThatProvablyDidNotRunIsResent")
 {
     CHECK(decideAfterFailure(retryable()) == NextStep::SendAgain);
 }
 
-TEST_CASE("FailureDecision.WithoutAttemptsLeftTheTruthIsTold")
+TEST_CASE("FailureDecision.OutcomeIsReportedWhenNoAttemptsAreLeft")
 {
     AttemptFailure failure = retryable();
     failure.sends = 2;
--- a/tests/routing/fleetdivision_test.cpp
+++ b/tests/routing/fleetdivision_test.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-// Guards against a placing host that looks at more endpoints for each request as the fleet grows.
+// Guards against a coordinator that examines more endpoints per request as the fleet grows.
 TEST_CASE("FleetDivision.CandidatesForOneRequestDoNotGrowWithTheFleet")
 {
     for (const int hosts : {60, 300, 1000, 2000}) {
@@ -48,7 +48,7 @@
     }
 }
 
-TEST_CASE("FleetDivision.EachCellHasAboutAsManyHosts")
+TEST_CASE("FleetDivision.CellsHaveSimilarNumbersOfHosts")
 {
     const FleetDivision division = divideFleet({{Large.value(), 9747}}, {});
     REQUIRE(division.cells() == 16);
@@ -69,8 +69,8 @@
         CHECK(division.isUsedIn(cell, units::PoolName("b"), units::EndpointId("e1")));
 }
 
-// Guards against hosts that list all their endpoints again each time one comes or goes.
-TEST_CASE("FleetDivision.SomeEndpointsMoreOrLessDoNotDivideAnew")
+// Guards against hosts that list all their endpoints again each time one is added or removed.
+TEST_CASE("FleetDivision.SmallChangesOfTheFleetKeepTheDivision")
 {
     const FleetDivision division = divideFleet({{"a", 9747}}, {});
     CHECK(divideFleet({{"a", 5400}}, division) == division);
--- a/tests/routing/gossipplanner_test.cpp
+++ b/tests/routing/gossipplanner_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr auto RoundInterval = milliseconds(250);
-constexpr auto Step = milliseconds(50); // hosts have their rounds at five different moments
+constexpr auto Step = milliseconds(50); // the hosts' rounds start at five different times
 
 constexpr auto SettleTime = seconds(12);
 
@@ -25,29 +25,29 @@
         : ip("10." + std::to_string(1 + number % 5) + "." + std::to_string(number / 250) + "."
              + std::to_string(number % 250))
         , domain("zone-" + std::to_string(number % 5))
-        , rounds(ip, number)
+        , planner(ip, number)
     {
     }
     PeerUpdate own(units::TimePoint now) const
     {
-        PeerUpdate news;
-        news.ip = ip;
-        news.failureDomain = units::FailureDomain(domain);
-        news.state = state;
-        news.uptime = now - startedAt;
-        return news;
+        PeerUpdate update;
+        update.ip = ip;
+        update.failureDomain = units::FailureDomain(domain);
+        update.state = state;
+        update.uptime = now - startedAt;
+        return update;
     }
 
     std::string ip;
     std::string domain;
     PeerTable table;
-    GossipPlanner rounds;
+    GossipPlanner planner;
     PeerState state = PeerState::Serving;
     bool isRunning = true;
     units::TimePoint startedAt;
 };
 
-// A fleet that gossips in virtual time; some of its datagrams are lost.
+// Simulates a gossiping fleet in virtual time; some of its datagrams are lost.
 struct GossipingFleet
 {
     explicit GossipingFleet(std::size_t size, double lossToUse = 0.01)
@@ -77,42 +77,44 @@
     }
     void round(GossipingHost &host)
     {
-        const GossipPlanner::Round round = host.rounds.next(host.table, now);
+        const GossipPlanner::Round round = host.planner.next(host.table, now);
         for (const std::string &ip : round.probeTargets) {
-            if (tell(host, ip, {}))
-                tell(*byIp.at(ip), host.ip, {});
+            if (sendDatagram(host, ip, {}))
+                sendDatagram(*byIp.at(ip), host.ip, {});
         }
         for (const std::string &ip : round.recipients)
-            tell(host, ip, round.news);
+            sendDatagram(host, ip, round.news);
     }
-    // Whether the datagram arrives.
-    bool tell(GossipingHost &from, const std::string &to, const std::vector<PeerUpdate> &news)
+    // Returns whether the datagram arrives.
+    bool sendDatagram(GossipingHost &from, const std::string &to,
+                      const std::vector<PeerUpdate> &updates)
     {
         ++datagrams;
-        described += news.size();
+        described += updates.size();
         const auto found = byIp.find(to);
         const bool isLost = std::uniform_real_distribution<>(0, 1)(random) < loss;
         if (found == byIp.end() || !found->second->isRunning || isLost)
             return false;
         GossipingHost &host = *found->second;
         if (!host.table.isLive(from.ip, now))
-            welcomes.emplace_back(&host, &from);
+            joins.emplace_back(&host, &from);
         host.table.receive(from.own(now), now);
-        host.rounds.onHeartbeat(from.ip, now);
-        for (const PeerUpdate &each : news) {
+        host.planner.onHeartbeat(from.ip, now);
+        for (const PeerUpdate &each : updates) {
             if (each.ip != host.ip)
                 host.table.receive(each, now);
         }
-        for (; !welcomes.empty(); welcomes.clear()) {
-            const auto [older, newcomer] = welcomes.back();
-            for (const PeerUpdate &each : older->rounds.newsForJoiningHost(older->table, now)) {
-                if (each.ip != newcomer->ip)
-                    newcomer->table.receive(each, now);
+        for (; !joins.empty(); joins.clear()) {
+            const auto [contact, joiningHost] = joins.back();
+            for (const PeerUpdate &each :
+                 contact->planner.newsForJoiningHost(contact->table, now)) {
+                if (each.ip != joiningHost->ip)
+                    joiningHost->table.receive(each, now);
             }
         }
         return true;
     }
-    // Running hosts that others take for lost, and lost ones that others take for running.
+    // Running hosts that others consider lost, and lost ones that others consider running.
     std::size_t wrongViews() const
     {
         std::vector<std::string> running;
@@ -159,7 +161,7 @@
 
     std::vector<std::unique_ptr<GossipingHost>> hosts;
     std::map<std::string, GossipingHost *> byIp;
-    std::vector<std::pair<GossipingHost *, GossipingHost *>> welcomes;
+    std::vector<std::pair<GossipingHost *, GossipingHost *>> joins;
     const units::TimePoint start = units::TimePoint(std::chrono::hours(1));
     units::TimePoint now = start;
     double loss;
@@ -170,8 +172,8 @@
 
 } // namespace
 
-// Guards against running hosts that others take for lost because news through others are old.
-TEST_CASE("GossipPlanner.NoRunningHostIsTakenForLostInALargeFleet")
+// Guards against running hosts that are considered lost because relayed updates of them are old.
+TEST_CASE("GossipPlanner.NoRunningHostIsConsideredLostInALargeFleet")
 {
     GossipingFleet fleet(300, 0.03);
     fleet.run(SettleTime);
@@ -180,8 +182,8 @@
     CHECK(wrong == 0);
 }
 
-// Guards against callers that are sent to a lost host, and against placing by a lost host.
-TEST_CASE("GossipPlanner.LostHostIsLostToAllWithinTwoSeconds")
+// Guards against sending callers to a lost host and against using it as placement coordinator.
+TEST_CASE("GossipPlanner.AllHostsDetectALostHostWithinTwoSeconds")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -192,7 +194,7 @@
     }
 }
 
-TEST_CASE("GossipPlanner.HalfOfTheHostsAreLostAtOnceAndComeBack")
+TEST_CASE("GossipPlanner.LossAndReturnOfHalfTheHostsAreDetected")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -208,8 +210,8 @@
     CHECK(fleet.wrongViews() == 0);
 }
 
-// Guards against a suspended host that takes all hosts it watches for lost when it wakes.
-TEST_CASE("GossipPlanner.HostThatWasSuspendedTakesNobodyForLost")
+// Guards against a host that, resumed after a suspension, declares all hosts it monitors lost.
+TEST_CASE("GossipPlanner.SuspendedHostConsidersNoHostLost")
 {
     GossipingFleet fleet(300);
     fleet.run(SettleTime);
@@ -227,8 +229,8 @@
     CHECK(wrong == 0);
 }
 
-// Guards against gossip whose bytes, or the time until all know of a change, grow with the fleet.
-TEST_CASE("GossipPlanner.AThousandHostsAgreeAtTheCostOfSixty")
+// Guards against gossip traffic, or delays until all know of a change, that grow with the fleet.
+TEST_CASE("GossipPlanner.MessagesPerHostDoNotGrowFromSixtyToAThousandHosts")
 {
     for (const std::size_t size : {60U, 1000U}) {
         GossipingFleet fleet(size);
