--- a/include/monsoongrade/routing/placementquery.h
+++ b/include/monsoongrade/routing/placementquery.h
@@ -11,37 +11,36 @@
 
 namespace monsoongrade::routing {
 
-// What placement needs to know of one request.
+// Attributes of a request that placement depends on.
 struct PlacementQuery
 {
     units::PoolName pool;
     bool runsModel = false;
-    // The prompt part that other requests share with this one, or its only part; may be empty.
+    // Id of the prompt prefix shared with other requests, or of the only part; may be empty.
     std::string sharedPart;
     std::int64_t promptTokens = 0; // the whole prompt
-    std::int64_t ownTokens = 0; // without what may be cached
+    std::int64_t ownTokens = 0; // without the part that may be cached
     units::Tier tier;
-    // Its events may be only so far apart that its endpoint must not read long prompts meanwhile.
+    // Its maximum event gap is too short for an endpoint that prefills long prompts meanwhile.
     bool needsShortPauses = false;
-    // Other requests of the pool need that. One endpoint is then kept for them even while none is
-    // open: else a placing host that has just started would look for prompt parts elsewhere than
-    // the one before it.
+    // Some requests of the pool need that. One endpoint is then reserved even while none is open:
+    // otherwise a newly started placement coordinator would look for prompt parts on other
+    // endpoints than its predecessor.
     bool poolServesShortPauses = false;
-    // Endpoints that already had this request and are not to get it again.
+    // Endpoints that have already been tried; they are excluded.
     std::vector<units::EndpointId> tried;
     units::FailureDomain requesterDomain;
-    // Until the first event should be there, and until the request is given up; from the asking.
+    // Time from the query until the first event is due, and until the client gives up.
     units::Duration targetIn{};
     units::Duration expiresIn{};
-    // The asking host can wait for an endpoint; without, the request is placed at once.
+    // The request may be queued; otherwise it is placed at once.
     bool mayWait = false;
-    // This host decides without those of the others in view.
+    // The host places the request itself, without knowledge of the other hosts' requests.
     bool isLocalFallback = false;
 };
 
-// The query for a request of which nothing has been tried yet. pool: null if the configuration does
-// not describe it.
-PlacementQuery placementQuery(const RequestMetadata &facts, const Route &route,
+// The query for the first attempt of a request. pool: null if the configuration lacks it.
+PlacementQuery placementQuery(const RequestMetadata &metadata, const Route &route,
                               const units::PoolName &poolName, const TrafficPool *pool,
                               units::Tier tier, const units::FailureDomain &requesterDomain);
 
--- a/include/monsoongrade/routing/placementticket.h
+++ b/include/monsoongrade/routing/placementticket.h
@@ -6,7 +6,7 @@
 
 namespace monsoongrade::routing {
 
-// Names one placed request: the host that asked, and that host's own number.
+// Identifies a placement: the requesting host and a number that it assigned.
 struct PlacementTicket
 {
     std::string host; // IP
--- a/include/monsoongrade/routing/poolscaling.h
+++ b/include/monsoongrade/routing/poolscaling.h
@@ -8,17 +8,16 @@
 
 namespace monsoongrade::routing {
 
-// How the number of a pool's endpoints may be changed, and what they cost.
+// Limits and prices for scaling a pool.
 struct PoolScaling
 {
-    // Endpoints in each failure domain, ordinary and preemptible ones together.
+    // Endpoints in each failure domain, on-demand and preemptible together.
     int minPerDomain = 1;
     int maxPerDomain = 1;
-    units::Duration bootTime{}; // from an order until the endpoint serves
-    // Price of a preemptible endpoint in that of an ordinary one; 1 or more: there is no use in
-    // them.
+    units::Duration bootTime{}; // from the order until the endpoint serves
+    // Price of a preemptible endpoint relative to an on-demand one; at 1 or more none are used.
     double preemptiblePrice = 1;
-    // Price of an ordinary endpoint's second in each failure domain that has endpoints.
+    // Price per second of an on-demand endpoint in each failure domain that has endpoints.
     std::map<units::FailureDomain, double> prices;
 };
 
--- a/include/monsoongrade/routing/prefillqueue.h
+++ b/include/monsoongrade/routing/prefillqueue.h
@@ -14,9 +14,9 @@
 
 namespace monsoongrade::routing {
 
-// Requests with long reads that wait for an endpoint. The order is by tier; within a tier those
-// that can still be on time go first, by the time at which they are due. A request that is late
-// anyway would else hold up one that is not, and make it late too. A request's size plays no part.
+// Queue of requests with long prefills that wait for an endpoint. Ordered by tier; within a tier
+// the requests that can still meet their target go first, by due time. A request that is already
+// late would otherwise delay one that is not. The size of a request does not matter.
 class PrefillQueue
 {
 public:
@@ -25,42 +25,42 @@
         PlacementTicket ticket;
         PlacementQuery query;
         units::TimePoint targetAt;
-        units::TimePoint givenUpAt;
+        units::TimePoint expiresAt;
         std::int64_t tokensToRead = 0;
     };
 
-    // tokensToRead: what an endpoint has to read for it. If another request waits for the same
-    // part, only its own tokens count.
+    // tokensToRead: the prefill tokens of the request. If another request waits for the same part,
+    // only its own tokens count.
     void add(const PlacementTicket &ticket, const PlacementQuery &query, std::int64_t tokensToRead,
              units::TimePoint now);
     void remove(const PlacementTicket &ticket);
-    // The requests to place next, at most so many.
-    std::vector<PlacementTicket> next(std::size_t most, units::TimePoint now);
-    // Removes and returns those that are too late to be of use to their clients. At most so many.
-    std::vector<PlacementTicket> takeGivenUp(std::size_t most, units::TimePoint now);
-    // Tokens of the requests that go before a new one of the tier.
+    // The next requests to place, in order.
+    std::vector<PlacementTicket> next(std::size_t maxCount, units::TimePoint now);
+    // Removes and returns requests that can't complete before their clients give up.
+    std::vector<PlacementTicket> takeExpired(std::size_t maxCount, units::TimePoint now);
+    // Tokens of the requests ahead of a new one of the tier.
     TokensAhead tokensAhead(units::Tier tier) const;
     // The requests that wait for the same shared part.
-    std::vector<PlacementTicket> withPart(const std::string &part) const;
+    std::vector<PlacementTicket> withSharedPart(const std::string &part) const;
     const Waiting *find(const PlacementTicket &ticket) const;
     bool isEmpty() const { return waiting_.empty(); }
     std::size_t size() const { return waiting_.size(); }
 
 private:
-    // Tier, whether it is too late for the target, due time, ticket.
-    using Place = std::tuple<units::Tier, bool, units::TimePoint, PlacementTicket>;
+    // Tier, whether the target can no longer be met, due time, ticket.
+    using SortKey = std::tuple<units::Tier, bool, units::TimePoint, PlacementTicket>;
     struct Entry
     {
         Waiting waiting;
-        Place place;
+        SortKey sortKey;
     };
 
     std::int64_t &tokensOf(const Entry &entry);
 
     std::map<PlacementTicket, Entry> waiting_;
-    std::set<Place> order_;
+    std::set<SortKey> order_;
     std::multimap<std::string, PlacementTicket> byPart_;
-    std::set<std::pair<units::TimePoint, PlacementTicket>> byGivenUp_;
+    std::set<std::pair<units::TimePoint, PlacementTicket>> byExpiry_;
     std::map<units::Tier, TokensAhead> tokens_;
 };
 
--- a/include/monsoongrade/routing/prefixcacheindex.h
+++ b/include/monsoongrade/routing/prefixcacheindex.h
@@ -9,7 +9,7 @@
 
 namespace monsoongrade::routing {
 
-// Remembers which endpoints have lately been sent a shared prompt part.
+// Tracks which endpoints have recently been sent a shared prompt part and so have it cached.
 class PrefixCacheIndex
 {
 public:
@@ -18,25 +18,25 @@
         units::EndpointId endpoint;
         Incarnation incarnation;
         units::TimePoint lastSent;
-        units::TimePoint lastTold;
+        units::TimePoint lastAnnounced;
     };
 
-    // Returns true if the successors of this host should be told: it is new, or was told a while
-    // ago.
-    bool remember(const std::string &part, const DiscoveredEndpoint &endpoint,
-                  units::TimePoint now);
-    // Endpoints that were sent the part; some entries may be too old, see holds(). One lookup
-    // serves a decision over all endpoints: with 60 of them, a lookup each took most of the time.
+    // Returns true if the standby coordinators should be notified: the entry is new, or its last
+    // announcement is due for renewal.
+    bool recordSent(const std::string &part, const DiscoveredEndpoint &endpoint,
+                    units::TimePoint now);
+    // Endpoints that were sent the part; entries may have expired, see holds(). One lookup serves
+    // a decision over all endpoints: with 60 of them, a lookup each dominated the decision time.
     const std::vector<Holder> *holders(const std::string &part) const;
-    // True if the list has this start of the endpoint and the part is not too old.
+    // True if the list has an unexpired entry for this incarnation of the endpoint.
     static bool holds(const std::vector<Holder> *holders, const DiscoveredEndpoint &endpoint,
                       units::TimePoint now);
 
 private:
-    void forgetOld(units::TimePoint now);
+    void removeExpired(units::TimePoint now);
 
     std::unordered_map<std::string, std::vector<Holder>> parts_;
-    units::TimePoint nextCleaning_{};
+    units::TimePoint nextCleanupAt_{};
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/quarantinestore.h
+++ b/include/monsoongrade/routing/quarantinestore.h
@@ -9,16 +9,16 @@
 
 namespace monsoongrade::routing {
 
-// Keeps quarantined requests where they outlive all hosts.
+// Persistent storage of quarantined requests that survives a restart of all hosts.
 class QuarantineStore
 {
 public:
     using Saved = std::function<void(bool isSaved)>;
-    // The crashes of all requests that are kept; nothing if that is not known.
+    // The crashes of all stored requests; nullopt if they could not be read.
     using Read = std::function<void(std::optional<std::vector<CrashUpdate>>)>;
 
     virtual ~QuarantineStore() = default;
-    // Keeps a request with its crashes; one that is kept already stays as it is.
+    // Stores a request with its crashes; a request that is already stored is left unchanged.
     virtual void save(const RequestIdentity &request, const std::vector<CrashUpdate> &crashes,
                       Saved saved)
         = 0;
--- a/include/monsoongrade/routing/recentcompletions.h
+++ b/include/monsoongrade/routing/recentcompletions.h
@@ -8,8 +8,8 @@
 
 namespace monsoongrade::routing {
 
-// Remembers which requests were answered whole in the last 30 to 60 s, in bounded memory: of very
-// many different ones the oldest are forgotten sooner.
+// Tracks the requests that were answered completely in the last 30 to 60 s, in bounded memory:
+// when there are very many, the oldest are dropped sooner.
 class RecentCompletions
 {
 public:
--- a/include/monsoongrade/routing/requestidentity.h
+++ b/include/monsoongrade/routing/requestidentity.h
@@ -9,11 +9,11 @@
 
 namespace monsoongrade::routing {
 
-// Hash of what a request asks for: method, host, target and body.
+// Hash of a request's method, host, target and body.
 using RequestDigest = units::StrongNumber<struct RequestDigestTag, std::uint64_t>;
 
-// Names a request, whichever client attempt carries it. The workspace is part of the name, so that
-// a digest that somebody makes collide only concerns requests of their own workspace.
+// Identifies a request across client attempts. The workspace is included so that a deliberate
+// collision of digests affects only requests of the attacker's own workspace.
 struct RequestIdentity
 {
     units::WorkspaceName workspace; // empty on public routes
--- a/include/monsoongrade/routing/requestmetadata.h
+++ b/include/monsoongrade/routing/requestmetadata.h
@@ -10,25 +10,25 @@
 
 namespace monsoongrade::routing {
 
-// A piece of a prompt that requests may share; an endpoint that has read it need not read it
-// again if it has all pieces before it as well.
+// A part of a prompt that requests may share. An endpoint that has it cached skips its prefill if
+// all parts before it are cached as well.
 struct PromptPart
 {
     std::string id;
     units::TokenCount tokens;
 };
 
-// What one request says about itself, decoded from its headers.
+// Metadata of one request, decoded from its headers.
 struct RequestMetadata
 {
     units::RequestId id; // one client attempt; empty if the client gave none
     std::string host; // lower case, without port
-    std::string key; // API key, empty if none was shown
+    std::string key; // API key, empty if none was sent
     std::optional<units::Duration> timeLeft; // how long the client still waits, at receipt
     std::vector<PromptPart> promptParts; // in order; the last belongs to this request or session
     units::TokenCount promptTokens;
     units::TokenCount maxOutputTokens;
-    std::string lastEventId; // the client resumes a stream after this event
+    std::string lastEventId; // the client resumes its stream after this event
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/requestplacer.h
+++ b/include/monsoongrade/routing/requestplacer.h
@@ -16,7 +16,7 @@
 
 namespace monsoongrade::routing {
 
-// A shared prompt part that an endpoint has read.
+// A shared prompt part that an endpoint has in its prefix cache.
 struct CachedPart
 {
     std::string part;
@@ -26,79 +26,79 @@
 
 // What happened to a placed request.
 enum class PlacementEvent : std::uint8_t {
-    FirstEvent, // its prompt has been read
+    FirstEvent, // its prefill has ended
     Completed,
-    EndpointFailed, // ended by a broken connection
-    EndpointSilent, // still open, but its host gets nothing at all from the endpoint
-    Withdrawn, // ended without a result that says anything about the endpoint
+    EndpointFailed, // its connection to the endpoint broke
+    EndpointSilent, // still open, but its host receives nothing from the endpoint
+    Withdrawn, // ended without a result that indicates the endpoint's health
 };
 
 struct PlacementChoice
 {
     EndpointRegistry::Status endpoint; // null if no endpoint accepts the request now
-    // Prompt tokens that the endpoint has to read before its first event, as far as known here.
+    // Prompt tokens that the endpoint has to prefill before its first event, as far as known here.
     std::int64_t tokensToRead = 0;
-    bool isWaiting = false; // no choice yet: a later call of placeWaiting() makes it
-    // Refused because of a long queue: when its client should come back.
+    bool isWaiting = false; // queued; a later call of placeWaiting() places it
+    // Set if the request is refused because of a long queue: when its client should retry.
     std::optional<units::Duration> retryDelay;
 };
 
-// Chooses endpoints for requests and keeps count of what it has placed on each.
+// Chooses endpoints for requests and tracks the load that it has placed on each.
 //
-// Model pools: the hosts let one of them place the requests of all, so that it knows what each
-// endpoint still has to read. A request costs an endpoint the tokens that wait to be read there
-// and those of the request itself: all of its prompt, or only its own part if the shared part is
-// cached. Its read also holds up the streams that run there, so it costs more where many run. The
-// cheapest endpoint gets it. Reading a breakdown of 13,300 shared and 3,720 own tokens takes 108 ms
-// in full and 24 ms with the shared part cached, and the pool cannot carry a burst of full reads; a
-// short prompt goes where nothing long waits. All hosts take the first endpoint by rendezvous
-// hashing of the shared part for one that has it cached, so that parts stay where they are when
-// another host takes over the placing, or when a host has to place alone.
+// Model pools: one host, the placement coordinator, places the requests of all hosts, so that it
+// knows each endpoint's outstanding prefill. The cost of an endpoint is its outstanding prefill
+// tokens plus those of the request: the whole prompt, or only its own part if the shared part is
+// cached. A prefill delays the streams that run on the endpoint, so the cost grows with their
+// number. The cheapest endpoint is chosen. The prefill of a breakdown with 13,300 shared and 3,720
+// own tokens takes 108 ms in full and 24 ms with the shared part cached, and a pool can't sustain
+// a burst of full prefills; a short prompt goes to an endpoint without long prefills. Where no
+// endpoint is known to have the shared part, all hosts prefer the first endpoint by rendezvous
+// hashing, so that cached parts are found when the coordinator changes or a host places locally.
 //
-// A long read waits here while every endpoint that could take it has long reads to do already: in
-// a burst of cold prompts the endpoints' queues would else grow to seconds, with the short
-// requests of higher tiers at their end. Waiting requests are placed by tier, then those first
-// whose first event can still be on time, by the time at which it is due. A request whose wait
-// would be too long is refused at once, see WaitForecaster.
+// A long prefill is queued here while every endpoint that could take it is busy with long ones:
+// in a burst of uncached prompts the endpoints' queues would otherwise grow to seconds, with the
+// short requests of higher tiers at their end. Queued requests are placed by tier, then those that
+// can still meet their target, by due time. A request that would wait too long is refused at once,
+// see WaitForecaster.
 //
-// Streams with short pauses have endpoints of their own, see ShortPauseReserve; they overflow to
-// the others when those are full, and long reads use them only if there is nothing else.
+// Streams with short event gaps have reserved endpoints, see ShortPauseReserve. They overflow to
+// the others when those are full, and long prefills use reserved endpoints only as a last resort.
 //
-// Other pools: the fewest open requests, weighed by how often and how late the endpoint has
-// answered lately; among equals the asking host's own failure domain, because bytes between
-// domains cost.
+// Other pools: the endpoint with the fewest open requests, weighted by its recent failures and
+// slowness; among equals the requesting host's failure domain, because traffic between domains is
+// charged.
 class RequestPlacer
 {
 public:
-    // This host's part of the limit of an endpoint where each host places for itself, 0 to 1.
+    // This host's share, 0 to 1, of an endpoint's limit in pools where each host places locally.
     void setOwnShare(double share) { ownShare_ = share; }
-    // Places a request. The choice counts as open until news of its end, or until it is too old. A
-    // ticket that is open or waits gets the same answer again.
+    // Places a request. It counts as open until an event ends it or it times out. Idempotent: an
+    // open or queued ticket gets the same result again.
     PlacementChoice place(const PlacementTicket &ticket, const PlacementQuery &query,
                           const std::vector<EndpointRegistry::Status> &available,
                           units::TimePoint now);
-    // Places those waiting requests for which there is room now, the most urgent first, and refuses
-    // those that have become too late.
+    // Places the queued requests for which there is capacity, the most urgent first, and refuses
+    // those that have expired.
     std::vector<std::pair<PlacementTicket, PlacementChoice>>
     placeWaiting(const EndpointRegistry &registry, units::TimePoint now);
-    bool hasWaiting() const { return !waiting_.isEmpty(); }
-    bool isWaiting(const PlacementTicket &ticket) const { return waiting_.find(ticket) != nullptr; }
-    // The choice for an open request that was placed, in case the word of it was lost.
+    bool hasWaiting() const { return !queue_.isEmpty(); }
+    bool isWaiting(const PlacementTicket &ticket) const { return queue_.find(ticket) != nullptr; }
+    // The choice for an open request, to send it again if the message was lost.
     std::optional<PlacementChoice> choiceOf(const PlacementTicket &ticket) const;
 
-    // News of a placed request. Failures that one host meets count for all requests that are
-    // placed here. Silence towards one host counts only if no other host got anything either
-    // since the request was placed: in an overload a first event takes longer than the silence
-    // that means a lost endpoint. News for an unknown ticket is ignored.
-    void onEvent(const PlacementTicket &ticket, PlacementEvent news, units::TimePoint now);
+    // Handles an event of a placed request. A failure that one host sees counts for all requests
+    // placed here. EndpointSilent counts only if no host has had a result from the endpoint since
+    // the request was placed: in an overload a first event takes longer than the silence timeout.
+    // Events of unknown tickets are ignored.
+    void onEvent(const PlacementTicket &ticket, PlacementEvent event, units::TimePoint now);
     // True if place() would find an endpoint.
     bool hasEndpoint(const PlacementQuery &query,
                      const std::vector<EndpointRegistry::Status> &available,
                      units::TimePoint now) const;
 
-    // Parts that were placed lately and not told to the successors for a while.
-    std::vector<CachedPart> takeNewCachedParts() { return std::exchange(newParts_, {}); }
-    // Another host has placed the part.
+    // Takes the cached parts that are due to be announced to the standby coordinators.
+    std::vector<CachedPart> takeNewCachedParts() { return std::exchange(unannouncedParts_, {}); }
+    // Adds a part that another coordinator has placed.
     void addCachedPart(const CachedPart &part, units::TimePoint now);
 
     std::size_t openRequests() const { return placed_.size(); }
@@ -112,8 +112,8 @@
         std::int64_t tokensToRead = 0;
         units::TimePoint at;
         bool needsShortPauses = false;
-        bool isOnlyRead = false; // its endpoint had nothing else to read when it was placed
-        bool isStreaming = false; // had its first event
+        bool isSolePrefill = false; // its endpoint had no other prefill when it was placed
+        bool isStreaming = false; // has had its first event
     };
     using Candidates = std::vector<const EndpointRegistry::Status *>;
 
@@ -125,34 +125,34 @@
     PlacementChoice chooseForModel(const PlacementQuery &query,
                                    const std::vector<EndpointRegistry::Status> &available,
                                    units::TimePoint now);
-    bool hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxToRead) const;
+    bool hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxBacklog) const;
     Candidates candidatesFor(const PlacementQuery &query,
                              const std::vector<EndpointRegistry::Status> &available,
                              units::TimePoint now);
-    PlacementChoice chooseForPlain(const PlacementQuery &query,
-                                   const std::vector<EndpointRegistry::Status> &available,
-                                   units::TimePoint now) const;
+    PlacementChoice chooseLeastLoaded(const PlacementQuery &query,
+                                      const std::vector<EndpointRegistry::Status> &available,
+                                      units::TimePoint now) const;
     static const EndpointStatus *firstByHash(const PlacementQuery &query,
                                              const Candidates &candidates);
-    void noteFirstEvent(Placed &placed, units::TimePoint now);
-    void end(const Placed &placed);
-    void noteSilence(const Placed &placed, units::TimePoint now);
-    void forgetOld(units::TimePoint now);
+    void onFirstEvent(Placed &placed, units::TimePoint now);
+    void release(const Placed &placed);
+    void onEndpointSilent(const Placed &placed, units::TimePoint now);
+    void removeExpired(units::TimePoint now);
 
     bool isUsable(const EndpointStatus &endpoint, const PlacementQuery &query,
                   units::TimePoint now) const;
     double shareFor(const PlacementQuery &query) const;
 
     double ownShare_ = 1;
-    PrefixCacheIndex memory_;
-    std::vector<CachedPart> newParts_;
+    PrefixCacheIndex prefixCache_;
+    std::vector<CachedPart> unannouncedParts_;
     EndpointLoads loads_;
     std::map<PlacementTicket, Placed> placed_;
-    PrefillRates readSpeeds_;
-    PrefillQueue waiting_;
+    PrefillRates prefillRates_;
+    PrefillQueue queue_;
     WaitForecaster forecaster_;
     ShortPauseReserve reserve_;
-    units::TimePoint nextCleaning_{};
+    units::TimePoint nextCleanupAt_{};
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/retryafter.h
+++ b/include/monsoongrade/routing/retryafter.h
@@ -7,13 +7,12 @@
 
 namespace monsoongrade::routing {
 
-// When a refused client should come back: after the time in which the reason usually passes,
-// spread by the request's id so that clients refused by one fault do not return as one burst, and
-// early enough that a third of its remaining time is not exceeded, because it would not wait so
-// long.
+// When a refused client should retry: after the time in which the reason usually passes, with
+// jitter by the request id so that clients refused by one fault do not return as one burst, and at
+// most a third of its remaining time, because it would not wait longer.
 units::Duration retryAfter(units::ResultCode reason, const units::RequestId &request,
                            units::Duration timeLeft);
-// The same for a request refused because of a long queue, with the time in which it drains.
+// The same for a request refused because of a long queue, which drains in the given time.
 units::Duration retryAfter(units::Duration queueDrainsIn, const units::RequestId &request,
                            units::Duration timeLeft);
 
--- a/include/monsoongrade/routing/retryallowance.h
+++ b/include/monsoongrade/routing/retryallowance.h
@@ -7,7 +7,7 @@
 
 namespace monsoongrade::routing {
 
-// Bound on repeats over a sliding window: share x requests + fixed, for all hosts together.
+// Limit on retries in a sliding window: share x requests + fixed, for all hosts together.
 struct RetryLimit
 {
     double share = 0.2;
@@ -15,24 +15,24 @@
     units::Duration window = std::chrono::seconds(10);
 };
 
-// Bounds this host's repeats to one pool. Without it, each request that fails in an overload comes
-// back and keeps the overload alive. Each host uses its own requests and an equal part of the
-// fixed number, so the bound holds over all hosts without an exchange between them.
+// Limits this host's retries to one pool. Without a limit, the retries of requests that fail in an
+// overload sustain it. Each host counts its own requests and an equal part of the fixed number, so
+// the limit holds over all hosts without coordination.
 class RetryAllowance
 {
 public:
-    // A first send to the pool.
+    // Records a first attempt.
     void onRequest(units::TimePoint now);
-    // True if another send fits, which it then counts. hosts: live hosts that share the bound.
-    bool trySpend(const RetryLimit &bound, int hosts, units::TimePoint now);
-    // True if trySpend() would allow it.
-    bool hasLeft(const RetryLimit &bound, int hosts, units::TimePoint now);
+    // Records a retry and returns true if the limit allows it. hosts: live hosts that share it.
+    bool trySpend(const RetryLimit &limit, int hosts, units::TimePoint now);
+    // True if trySpend() would succeed.
+    bool hasLeft(const RetryLimit &limit, int hosts, units::TimePoint now);
 
 private:
-    void forgetOld(const RetryLimit &bound, units::TimePoint now);
+    void removeExpired(const RetryLimit &limit, units::TimePoint now);
 
     std::deque<units::TimePoint> requests_;
-    std::deque<units::TimePoint> repeats_;
+    std::deque<units::TimePoint> retries_;
 };
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/revision.h
+++ b/include/monsoongrade/routing/revision.h
@@ -7,7 +7,7 @@
 
 namespace monsoongrade::routing {
 
-// Number that the platform's store gives to each change; a larger one is newer.
+// Number that the platform's store assigns to each change, in increasing order.
 using Revision = units::StrongNumber<struct RevisionTag, std::uint64_t>;
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/routetable.h
+++ b/include/monsoongrade/routing/routetable.h
@@ -8,38 +8,38 @@
 
 namespace monsoongrade::routing {
 
-// One version of the operator's configuration, indexed for lookups. Never changes; a new version
-// is a new table, and requests keep the one that they began with.
+// One version of the operator's configuration, indexed for lookups. Immutable: a new version is a
+// new table, and a request keeps the table that it started with.
 class RouteTable
 {
 public:
     explicit RouteTable(TrafficConfiguration configuration);
 
-    // The route of the host with the longest prefix of the path, or nullptr. The target may carry
-    // a query. Costs one lookup a path segment, however many routes there are.
+    // The host's route with the longest matching path prefix, or nullptr. The target may contain a
+    // query. Costs one lookup per path segment, independent of the number of routes.
     const Route *find(const std::string &host, std::string_view target) const;
-    // The workspace that holds the key, or nullptr.
+    // The workspace that the API key belongs to, or nullptr.
     const WorkspaceKeys *workspaceOf(const std::string &key) const;
     const TrafficPool *pool(const units::PoolName &name) const;
-    // The tier of a request: that of its route, and within it that of its workspace, as far as ten
-    // tiers suffice for both. Classes of requests are routes; a workspace's tier may move its
-    // requests before those of another workspace of the same class, but never a breakdown before a
-    // summary. workspace may be null.
+    // The tier of a request: its route's tier, subdivided by its workspace's tier as far as ten
+    // tiers suffice. Each request class is a route: a workspace's tier may put its requests ahead
+    // of another workspace's in the same class, but never a breakdown ahead of a summary. workspace
+    // may be null.
     units::Tier tierOf(const Route &route, const WorkspaceKeys *workspace) const;
-    // Callers must show a key on routes that are not public.
+    // True if routes that are not public require an API key.
     bool hasKeys() const { return !configuration_.workspaces.empty(); }
     const TrafficConfiguration &configuration() const { return configuration_; }
 
 private:
     TrafficConfiguration configuration_;
-    std::unordered_map<std::string, const Route *> routes_; // by host, a space, and prefix
+    std::unordered_map<std::string, const Route *> routes_; // by host, space and prefix
     std::unordered_map<std::string, const WorkspaceKeys *> workspaces_;
     std::unordered_map<std::string, const TrafficPool *> pools_;
     std::uint32_t tiersPerRoute_ = 1;
 };
 
-// The pool for a request: the same for the same request id, and in proportion to the weights over
-// many requests. share is from 0 up to and without 1.
+// Chooses a pool in proportion to the weights. share, in [0, 1), is derived from the request id, so
+// that the same request gets the same pool.
 const units::PoolName &choosePool(const Route &route, double share);
 
 } // namespace monsoongrade::routing
--- a/include/monsoongrade/routing/storeoutage.h
+++ b/include/monsoongrade/routing/storeoutage.h
@@ -8,11 +8,11 @@
 
 namespace monsoongrade::routing {
 
-// True if the store was away for all hosts, as far as this one can tell, and not only for this one.
-// Endpoints' entries lapse while the store is away and come back within seconds, so that missing
-// ones are kept for a moment. If only this host was turned away, the store was there for the
-// endpoints: a missing entry means that the endpoint left, and it must get no more requests.
-// Another host that had the store all that time shows it.
+// True if, as far as this host can tell, the store was unavailable to all hosts and not only to
+// this one. In such an outage endpoint entries expire and come back within seconds, so missing ones
+// are kept for a short time. If only this host was refused, the endpoints could reach the store: a
+// missing entry means that the endpoint has left, and it must get no more requests. This is the
+// case if another host has reached the store all that time.
 bool wasFleetWideOutage(units::Duration away, const std::string &ownIp,
                         const std::vector<PeerUpdate> &hosts);
 
--- a/include/monsoongrade/routing/trafficconfiguration.h
+++ b/include/monsoongrade/routing/trafficconfiguration.h
@@ -14,8 +14,8 @@
 
 namespace monsoongrade::routing {
 
-// One workspace with the keys that its callers show. Its tier, if given, decides among requests
-// of the same route's tier; see RouteTable::tierOf().
+// A workspace with its API keys. Its tier, if set, orders requests within a route's tier; see
+// RouteTable::tierOf().
 struct WorkspaceKeys
 {
     units::WorkspaceName name;
@@ -23,7 +23,7 @@
     std::optional<units::Tier> tier;
 };
 
-// What callers may send and how long they may take.
+// Size limits and timeouts for requests of callers.
 struct CallerLimits
 {
     std::size_t maxHeadBytes = 16 * 1024;
@@ -32,11 +32,11 @@
     std::chrono::milliseconds idleTimeout = std::chrono::seconds(30);
 };
 
-// Everything that the operator decides about traffic, as one version.
+// One version of the operator's traffic configuration.
 struct TrafficConfiguration
 {
-    std::int64_t version = 0; // the operator's own number, for logs
-    Revision revision; // orders versions
+    std::int64_t version = 0; // assigned by the operator, for logs
+    Revision revision; // assigned by the store; orders versions
     std::vector<Route> routes;
     std::vector<TrafficPool> pools;
     std::vector<WorkspaceKeys> workspaces;
--- a/include/monsoongrade/routing/trafficpool.h
+++ b/include/monsoongrade/routing/trafficpool.h
@@ -9,19 +9,19 @@
 
 namespace monsoongrade::routing {
 
-// Endpoints that do the same work.
+// A pool of equivalent endpoints.
 struct TrafficPool
 {
     units::PoolName name;
-    // Connections that one endpoint takes from all hosts together.
+    // Connections that an endpoint accepts from all hosts together.
     int maxConnections = 64;
-    // The endpoints run a model: prompts are read, and their parts cached.
+    // The endpoints run a language model, with prefill and a prefix cache.
     bool runsModel = false;
-    // Tokens in one event of a stream. The engines known make 5 or 6.
+    // Tokens per stream event. Known engines send 5 or 6.
     int tokensPerEvent = 5;
-    // Some route of the pool serves streams with short pauses. Set by RouteTable.
+    // A route of the pool has streams that need short event gaps. Set by RouteTable.
     bool servesShortPauses = false;
-    // None if the number of its endpoints is not ours to change.
+    // Unset if the pool is not scaled by this service.
     std::optional<PoolScaling> scaling;
 };
 
--- a/include/monsoongrade/routing/waitforecast.h
+++ b/include/monsoongrade/routing/waitforecast.h
@@ -7,16 +7,16 @@
 
 namespace monsoongrade::routing {
 
-// Prompt tokens that wait to be read before those of a request.
+// Queued prefill tokens ahead of a request.
 struct TokensAhead
 {
     std::int64_t onTime = 0; // of requests that can still meet their target
-    std::int64_t late = 0; // of those that can't
+    std::int64_t late = 0; // of those that can no longer meet it
 };
 
 enum class WaitDecision : std::uint8_t {
     Wait,
-    Refuse, // with the time after which to come back
+    Refuse, // with the time after which to retry
 };
 
 struct WaitForecast
@@ -25,23 +25,23 @@
     units::Duration retryDelay{};
 };
 
-// Predicts how long a request with a long read waits for an endpoint, from the tokens that go
-// before it and the rate at which the queue drains, and decides whether it may.
+// Predicts how long a request with a long prefill waits for an endpoint, from the tokens ahead of
+// it and the rate at which the queue drains, and decides whether to queue it.
 //
-// The load it answers: a burst in which all prompts are cold, so that requests arrive faster than
-// they can be read. Without it, callers wait until they give up, without a word; told at once, one
-// can come back when prompts are cached.
+// Needed for bursts of uncached prompts, which arrive faster than they can be prefilled. Without
+// admission control, callers wait until they time out; refused at once, they can retry when prompts
+// are cached.
 class WaitForecaster
 {
 public:
-    // Requests left the queue for endpoints, which read this many tokens for them.
-    void drained(std::int64_t tokens, units::TimePoint now);
-    // The queue is empty: the rate is not known by it any more.
-    void idle() { windowStart_ = {}; }
-
-    // targetIn, expiresIn: until the first event of the request is due and until its client leaves.
-    // endpoints: those that read for the queue. tokensPerMs: what one of them reads. The request's
-    // own size is no input, or an overload would refuse the longest prompts and serve the short.
+    // Requests with this many prefill tokens were moved from the queue to endpoints.
+    void onDrained(std::int64_t tokens, units::TimePoint now);
+    // The queue is empty, so the drain rate can't be measured.
+    void onQueueEmpty() { windowStart_ = {}; }
+
+    // targetIn, expiresIn: time until the first event is due and until the client gives up.
+    // endpoints: the number that serve the queue. tokensPerMs: prefill rate of one. The request's
+    // own size is ignored: otherwise an overload would refuse long prompts in favor of short ones.
     WaitForecast forecast(const TokensAhead &ahead, units::Duration targetIn,
                           units::Duration expiresIn, std::size_t endpoints,
                           double tokensPerMs) const;
@@ -50,8 +50,8 @@
     double drainRate(std::size_t endpoints, double tokensPerMs) const;
 
     units::TimePoint windowStart_{};
-    std::int64_t inWindow_ = 0;
-    double measured_ = 0; // tokens a millisecond; 0: nothing measured yet
+    std::int64_t windowTokens_ = 0;
+    double measuredRate_ = 0; // tokens per millisecond; 0: not measured yet
 };
 
 } // namespace monsoongrade::routing
--- a/src/routing/coordinatorselector.cpp
+++ b/src/routing/coordinatorselector.cpp
@@ -4,26 +4,26 @@
 
 namespace {
 
-// Two timeouts of 25 ms, less what a late timer may take off the second.
-constexpr auto SilenceOfLostHost = std::chrono::milliseconds(45);
-constexpr auto AvoidFor = std::chrono::seconds(1);
+// Two timeouts of 25 ms, less the tolerance for a late timer.
+constexpr auto MaxSilence = std::chrono::milliseconds(45);
+constexpr auto SkipFor = std::chrono::seconds(1);
 
 } // namespace
 
 void CoordinatorSelector::onAnswer(const std::string &host)
 {
-    hosts_[host].silentSince.reset();
+    hosts_[host].unansweredSince.reset();
 }
 
-bool CoordinatorSelector::onAnswerOverdue(const std::string &host, units::TimePoint asked,
+bool CoordinatorSelector::onAnswerOverdue(const std::string &host, units::TimePoint queriedAt,
                                           units::TimePoint now)
 {
-    Trust &trust = hosts_[host];
-    if (!trust.silentSince)
-        trust.silentSince = asked;
-    if (now - *trust.silentSince < SilenceOfLostHost)
+    HostState &state = hosts_[host];
+    if (!state.unansweredSince)
+        state.unansweredSince = queriedAt;
+    if (now - *state.unansweredSince < MaxSilence)
         return false;
-    trust = {std::nullopt, now + AvoidFor};
+    state = {std::nullopt, now + SkipFor};
     return true;
 }
 
@@ -33,8 +33,8 @@
     for (const std::string &host : order) {
         if (host == own)
             return {};
-        const auto trust = hosts_.find(host);
-        if (trust == hosts_.end() || now >= trust->second.avoidUntil)
+        const auto state = hosts_.find(host);
+        if (state == hosts_.end() || now >= state->second.skipUntil)
             return host;
     }
     return {};
--- a/src/routing/placementquery.cpp
+++ b/src/routing/placementquery.cpp
@@ -4,7 +4,7 @@
 
 namespace monsoongrade::routing {
 
-PlacementQuery placementQuery(const RequestMetadata &facts, const Route &route,
+PlacementQuery placementQuery(const RequestMetadata &metadata, const Route &route,
                               const units::PoolName &poolName, const TrafficPool *pool,
                               units::Tier tier, const units::FailureDomain &requesterDomain)
 {
@@ -13,15 +13,15 @@
     query.runsModel = pool != nullptr && pool->runsModel;
     query.needsShortPauses = query.runsModel && needsShortPauses(route, pool->tokensPerEvent);
     query.poolServesShortPauses = query.runsModel && pool->servesShortPauses;
-    query.promptTokens = facts.promptTokens.value();
+    query.promptTokens = metadata.promptTokens.value();
     query.ownTokens = query.promptTokens;
     query.tier = tier;
     query.requesterDomain = requesterDomain;
-    if (facts.promptParts.empty())
+    if (metadata.promptParts.empty())
         return query;
-    const std::size_t parts = facts.promptParts.size();
-    query.sharedPart = facts.promptParts[parts > 1 ? parts - 2 : 0].id;
-    query.ownTokens = facts.promptParts.back().tokens.value();
+    const std::size_t parts = metadata.promptParts.size();
+    query.sharedPart = metadata.promptParts[parts > 1 ? parts - 2 : 0].id;
+    query.ownTokens = metadata.promptParts.back().tokens.value();
     return query;
 }
 
--- a/src/routing/placinghosts.cpp
+++ b/src/routing/placinghosts.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Hosts that start together do so within 0.3 s, and gossip tells ages to about 0.5 s.
-constexpr auto SameAge = std::chrono::seconds(3);
+// Hosts of one deployment start within 0.3 s, and gossip reports uptimes to about 0.5 s.
+constexpr auto AgeTolerance = std::chrono::seconds(3);
 
 struct Candidate
 {
@@ -29,7 +29,6 @@
     return serving;
 }
 
-// Most processor first, then the oldest.
 bool ranksBefore(const Candidate &a, const Candidate &b)
 {
     if (a.host->millicores != b.host->millicores)
@@ -51,24 +50,24 @@
         work.add();
         return serving[a].hash < serving[b].hash;
     };
-    // Hosts of about the same age as the oldest that has no place yet, the largest hash first.
+    // Hosts of about the same age as the oldest unranked one, by descending hash.
     std::priority_queue<std::size_t, std::vector<std::size_t>, decltype(hasSmallerHash)> sameAge(
         hasSmallerHash);
-    std::vector<bool> hasPlace(serving.size(), false);
+    std::vector<bool> isRanked(serving.size(), false);
     std::vector<std::string> order;
     order.reserve(serving.size());
     std::size_t oldest = 0;
     std::size_t next = 0;
     while (order.size() < serving.size()) {
-        while (hasPlace[oldest])
+        while (isRanked[oldest])
             ++oldest;
         const Candidate &first = serving[oldest];
         while (next < serving.size() && serving[next].host->millicores == first.host->millicores
-               && serving[next].age + SameAge >= first.age)
+               && serving[next].age + AgeTolerance >= first.age)
             sameAge.push(next++);
         const std::size_t chosen = sameAge.top();
         sameAge.pop();
-        hasPlace[chosen] = true;
+        isRanked[chosen] = true;
         order.push_back(serving[chosen].host->ip);
     }
     return order;
--- a/src/routing/prefillqueue.cpp
+++ b/src/routing/prefillqueue.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-// A mean read, 60 to 130 ms on the engines known. It is the same for all sizes: with a request's
-// own reading time, long prompts would count as late sooner and go behind short ones of their tier.
+// Mean prefill time, 60 to 130 ms on known engines. The same for all sizes: with its own prefill
+// time, a long prompt would count as late sooner and go behind short ones of its tier.
 constexpr auto TypicalReadTime = std::chrono::milliseconds(100);
-// Below this, a request that starts now would not end before its client leaves: reading takes 0.1 s
-// and the mean stream 0.3 to 1.5 s.
+// A request that starts later than this before its expiry would not complete in time: the prefill
+// takes 0.1 s and the mean stream 0.3 to 1.5 s.
 constexpr auto MinUsefulTime = std::chrono::seconds(1);
 
 } // namespace
@@ -17,14 +17,14 @@
                        std::int64_t tokensToRead, units::TimePoint now)
 {
     remove(ticket);
-    const bool isPartAwaited = byPart_.count(query.sharedPart) != 0;
+    const bool isPartQueued = byPart_.count(query.sharedPart) != 0;
     Entry entry;
     entry.waiting = {ticket, query, now + query.targetIn, now + query.expiresIn,
-                     isPartAwaited ? query.ownTokens : tokensToRead};
-    entry.place = {query.tier, false, entry.waiting.targetAt, ticket};
-    order_.insert(entry.place);
+                     isPartQueued ? query.ownTokens : tokensToRead};
+    entry.sortKey = {query.tier, false, entry.waiting.targetAt, ticket};
+    order_.insert(entry.sortKey);
     byPart_.emplace(query.sharedPart, ticket);
-    byGivenUp_.emplace(entry.waiting.givenUpAt, ticket);
+    byExpiry_.emplace(entry.waiting.expiresAt, ticket);
     tokensOf(entry) += entry.waiting.tokensToRead;
     waiting_.emplace(ticket, std::move(entry));
 }
@@ -32,7 +32,7 @@
 std::int64_t &PrefillQueue::tokensOf(const Entry &entry)
 {
     TokensAhead &tokens = tokens_[entry.waiting.query.tier];
-    return std::get<bool>(entry.place) ? tokens.late : tokens.onTime;
+    return std::get<bool>(entry.sortKey) ? tokens.late : tokens.onTime;
 }
 
 void PrefillQueue::remove(const PlacementTicket &ticket)
@@ -40,8 +40,8 @@
     const auto found = waiting_.find(ticket);
     if (found == waiting_.end())
         return;
-    order_.erase(found->second.place);
-    byGivenUp_.erase({found->second.waiting.givenUpAt, ticket});
+    order_.erase(found->second.sortKey);
+    byExpiry_.erase({found->second.waiting.expiresAt, ticket});
     tokensOf(found->second) -= found->second.waiting.tokensToRead;
     auto [begin, end] = byPart_.equal_range(found->second.waiting.query.sharedPart);
     for (; begin != end; ++begin) {
@@ -53,36 +53,36 @@
     waiting_.erase(found);
 }
 
-std::vector<PlacementTicket> PrefillQueue::next(std::size_t most, units::TimePoint now)
+std::vector<PlacementTicket> PrefillQueue::next(std::size_t maxCount, units::TimePoint now)
 {
     std::vector<PlacementTicket> tickets;
     auto each = order_.begin();
-    while (each != order_.end() && tickets.size() < most) {
-        const Place place = *each++;
-        const PlacementTicket &ticket = std::get<PlacementTicket>(place);
+    while (each != order_.end() && tickets.size() < maxCount) {
+        const SortKey sortKey = *each++;
+        const PlacementTicket &ticket = std::get<PlacementTicket>(sortKey);
         Entry &entry = waiting_.at(ticket);
         const bool isLate = now + TypicalReadTime > entry.waiting.targetAt;
-        if (!isLate || std::get<bool>(place)) {
+        if (!isLate || std::get<bool>(sortKey)) {
             tickets.push_back(ticket);
             continue;
         }
-        order_.erase(place);
+        order_.erase(sortKey);
         tokensOf(entry) -= entry.waiting.tokensToRead;
-        std::get<bool>(entry.place) = true;
+        std::get<bool>(entry.sortKey) = true;
         tokensOf(entry) += entry.waiting.tokensToRead;
-        order_.insert(entry.place);
-        // The next in order may stand before the new place of this one.
-        each = order_.upper_bound(place);
+        order_.insert(entry.sortKey);
+        // The next entry may come before the new position of this one.
+        each = order_.upper_bound(sortKey);
     }
     return tickets;
 }
 
-std::vector<PlacementTicket> PrefillQueue::takeGivenUp(std::size_t most, units::TimePoint now)
+std::vector<PlacementTicket> PrefillQueue::takeExpired(std::size_t maxCount, units::TimePoint now)
 {
     std::vector<PlacementTicket> tickets;
-    while (!byGivenUp_.empty() && tickets.size() < most
-           && byGivenUp_.begin()->first <= now + MinUsefulTime) {
-        tickets.push_back(byGivenUp_.begin()->second);
+    while (!byExpiry_.empty() && tickets.size() < maxCount
+           && byExpiry_.begin()->first <= now + MinUsefulTime) {
+        tickets.push_back(byExpiry_.begin()->second);
         remove(tickets.back());
     }
     return tickets;
@@ -100,7 +100,7 @@
     return ahead;
 }
 
-std::vector<PlacementTicket> PrefillQueue::withPart(const std::string &part) const
+std::vector<PlacementTicket> PrefillQueue::withSharedPart(const std::string &part) const
 {
     std::vector<PlacementTicket> tickets;
     const auto [begin, end] = byPart_.equal_range(part);
--- a/src/routing/prefixcacheindex.cpp
+++ b/src/routing/prefixcacheindex.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// Engines keep some 80 to 100 long prompts; with 300 subjects over 9 engines a part stays cached
-// for tens of seconds. A part taken for cached that is not costs one slow first event.
-constexpr auto Remembered = std::chrono::seconds(20);
-// A host that became a successor knows all parts in use after this time, for about one datagram
-// of 20 parts every 0.2 s.
-constexpr auto TellAgainAfter = std::chrono::seconds(2);
+// Engines cache 80 to 100 long prompts; with 300 subjects over 9 engines a part stays cached for
+// tens of seconds. Wrongly assuming that a part is cached costs one slow first event.
+constexpr auto Retention = std::chrono::seconds(20);
+// A new standby coordinator knows all parts in use after this time. Costs about one datagram of 20
+// parts every 0.2 s.
+constexpr auto AnnounceInterval = std::chrono::seconds(2);
 
-bool isOld(const PrefixCacheIndex::Holder &holder, units::TimePoint now)
+bool isExpired(const PrefixCacheIndex::Holder &holder, units::TimePoint now)
 {
-    return now - holder.lastSent >= Remembered;
+    return now - holder.lastSent >= Retention;
 }
 
 bool isSame(const PrefixCacheIndex::Holder &holder, const DiscoveredEndpoint &endpoint)
@@ -25,21 +25,21 @@
 
 } // namespace
 
-bool PrefixCacheIndex::remember(const std::string &part, const DiscoveredEndpoint &endpoint,
-                                units::TimePoint now)
+bool PrefixCacheIndex::recordSent(const std::string &part, const DiscoveredEndpoint &endpoint,
+                                  units::TimePoint now)
 {
-    if (now >= nextCleaning_)
-        forgetOld(now);
+    if (now >= nextCleanupAt_)
+        removeExpired(now);
     std::vector<Holder> &holders = parts_[part];
     auto holder = std::find_if(holders.begin(), holders.end(),
                                [&](const Holder &each) { return isSame(each, endpoint); });
     if (holder == holders.end())
         holder = holders.insert(holders.end(), {endpoint.id, endpoint.incarnation, now, {}});
     holder->lastSent = now;
-    const bool isToTell = now - holder->lastTold >= TellAgainAfter;
-    if (isToTell)
-        holder->lastTold = now;
-    return isToTell;
+    const bool isAnnouncementDue = now - holder->lastAnnounced >= AnnounceInterval;
+    if (isAnnouncementDue)
+        holder->lastAnnounced = now;
+    return isAnnouncementDue;
 }
 
 const std::vector<PrefixCacheIndex::Holder> *
@@ -54,17 +54,17 @@
 {
     return holders != nullptr
         && std::any_of(holders->begin(), holders->end(), [&](const Holder &each) {
-               return isSame(each, endpoint) && !isOld(each, now);
+               return isSame(each, endpoint) && !isExpired(each, now);
            });
 }
 
-void PrefixCacheIndex::forgetOld(units::TimePoint now)
+void PrefixCacheIndex::removeExpired(units::TimePoint now)
 {
-    nextCleaning_ = now + Remembered;
+    nextCleanupAt_ = now + Retention;
     for (auto part = parts_.begin(); part != parts_.end();) {
         std::vector<Holder> &holders = part->second;
         holders.erase(std::remove_if(holders.begin(), holders.end(),
-                                     [now](const Holder &each) { return isOld(each, now); }),
+                                     [now](const Holder &each) { return isExpired(each, now); }),
                       holders.end());
         part = holders.empty() ? parts_.erase(part) : std::next(part);
     }
--- a/src/routing/requestidentity.cpp
+++ b/src/routing/requestidentity.cpp
@@ -13,7 +13,7 @@
     units::StableHash hash;
     for (const std::string_view part : {method, host, target, body}) {
         hash.add(part);
-        // Keeps "ab", "c" apart from "a", "bc".
+        // Distinguishes "ab", "c" from "a", "bc".
         hash.add(std::uint64_t(part.size()));
     }
     return RequestDigest(hash.spread());
--- a/src/routing/requestplacer.cpp
+++ b/src/routing/requestplacer.cpp
@@ -9,36 +9,37 @@
 
 namespace {
 
-// While an endpoint reads a chunk of a prompt, all streams that it runs wait. A read therefore
-// costs its own tokens, and this share of them once more for each stream, so that streams do not
-// run long enough to be cut with a lost endpoint. A much larger share would spare streams by
-// reading shared parts again elsewhere.
-constexpr double ReadWeightPerStream = 0.3;
-constexpr double ReadAgainWeight = 5;
-constexpr double DetourWeight = 3;
-// A read of up to this time needs no room: it disturbs little. On fast engines this exempts most
-// long prompts too, and the longest bear most of an overload.
-constexpr auto LongRead = std::chrono::milliseconds(90);
-// An endpoint has room while no more than this waits there: a short request with a target of 250 ms
-// still finds its way, and the endpoint does not run dry in the 5 ms that the next placement takes.
-// What the read itself adds does not count, or there would never be room for the longest prompts.
-constexpr auto MaxReadsBefore = std::chrono::milliseconds(160);
-// A kept endpoint takes at most this much to read. When clients return all at once after an outage,
-// their short prompts would else wait behind each other on a single one.
-constexpr auto MaxReadsInReserve = std::chrono::milliseconds(120);
-// Waiting requests that are tried when room has come. Each waits for the endpoint that is best for
-// its part and must not hold up the others; more would cost the placing host too much time.
-constexpr std::size_t MaxTriedAtOnce = 16;
-// Reads of an endpoint that answers this many times as slowly as expected tell of its fault and not
-// of the pool's engines.
-constexpr double MaxSlownessToLearnFrom = 4;
-// An endpoint that fails every request counts as if it were this many times as loaded.
+// While an endpoint prefills a chunk of a prompt, all its streams wait. A prefill therefore costs
+// its own tokens, plus this share of them for each stream: longer streams are more likely to be cut
+// when their endpoint is lost. A much larger share would protect streams at the price of prefilling
+// shared parts again elsewhere.
+constexpr double PrefillWeightPerStream = 0.3;
+constexpr double RepeatedPrefillWeight = 5;
+constexpr double DetourPenaltyWeight = 3;
+// Prefills up to this duration are never queued, as they delay others little. On fast engines this
+// exempts most long prompts too, so the longest ones bear most of an overload.
+constexpr auto LongPrefill = std::chrono::milliseconds(90);
+// An endpoint has room for a long prefill while its outstanding prefill is at most this: a short
+// request with a target of 250 ms can still be on time, and the endpoint does not become idle in
+// the 5 ms until the next placement. The request's own prefill is not counted, otherwise there
+// would never be room for the longest prompts.
+constexpr auto MaxBacklog = std::chrono::milliseconds(160);
+// Limit on the outstanding prefill of a reserved endpoint. When all clients return at once after
+// an outage, their short prompts would otherwise queue up on a single endpoint.
+constexpr auto MaxBacklogInReserve = std::chrono::milliseconds(120);
+// Queued requests that are tried per call. Each waits for the best endpoint for its part and must
+// not block the others behind it; trying more takes the placement coordinator too much time.
+constexpr std::size_t MaxTriedPerCall = 16;
+// Prefills on an endpoint that is slower than expected by this factor reflect its fault and are
+// not used to estimate the prefill rate of the pool.
+constexpr double MaxSlownessOfSamples = 4;
+// Factor added to the load of an endpoint that fails every request.
 constexpr double FailurePenalty = 20;
-// News of an end may be lost with its datagram or its host. Streams last about a second, the
-// longest allowed ones 10 s; reading a prompt takes below a second except in an overload.
+// The event that ends a request may be lost with its datagram or host. Streams last about a second
+// and at most 10 s; a prefill takes less than a second except in an overload.
 constexpr auto MaxOpenTime = std::chrono::seconds(12);
-constexpr auto MaxReadTime = std::chrono::seconds(3);
-constexpr auto CleaningInterval = std::chrono::milliseconds(250);
+constexpr auto MaxPrefillTime = std::chrono::seconds(3);
+constexpr auto CleanupInterval = std::chrono::milliseconds(250);
 
 std::uint64_t rankHash(const std::string &part, const EndpointStatus &endpoint)
 {
@@ -52,7 +53,7 @@
 
 } // namespace
 
-// A model pool's limit is used up by the one host that places for all.
+// The coordinator places for all hosts and so may use the whole limit of a model pool's endpoint.
 double RequestPlacer::shareFor(const PlacementQuery &query) const
 {
     return query.runsModel && !query.isLocalFallback ? 1 : ownShare_;
@@ -72,9 +73,9 @@
                                      const std::vector<EndpointRegistry::Status> &available,
                                      units::TimePoint now)
 {
-    forgetOld(now);
-    // The answer to an ask that is repeated is the one that was lost. Placing anew would count the
-    // request itself as part of the queue before it, and could refuse it while it still waits.
+    removeExpired(now);
+    // A repeated query gets the result that was lost. Placing the request again would count it as
+    // part of the queue ahead of itself, and could refuse it while it is queued.
     if (const auto earlier = choiceOf(ticket))
         return *earlier;
     if (isWaiting(ticket)) {
@@ -83,7 +84,7 @@
         return waiting;
     }
     PlacementChoice choice = query.runsModel ? chooseForModel(query, available, now)
-                                             : chooseForPlain(query, available, now);
+                                             : chooseLeastLoaded(query, available, now);
     if (choice.isWaiting && query.mayWait)
         return queueOrRefuse(ticket, query, std::move(choice), available.size(), now);
     return commit(ticket, query, std::move(choice), now);
@@ -94,10 +95,10 @@
                                              std::size_t endpoints, units::TimePoint now)
 {
     const WaitForecast forecast
-        = forecaster_.forecast(waiting_.tokensAhead(query.tier), query.targetIn, query.expiresIn,
-                               endpoints, readSpeeds_.of(query.pool).tokensPerMs(now));
+        = forecaster_.forecast(queue_.tokensAhead(query.tier), query.targetIn, query.expiresIn,
+                               endpoints, prefillRates_.of(query.pool).tokensPerMs(now));
     if (forecast.decision == WaitDecision::Wait) {
-        waiting_.add(ticket, query, choice.tokensToRead, now);
+        queue_.add(ticket, query, choice.tokensToRead, now);
         return choice;
     }
     choice = {};
@@ -109,21 +110,22 @@
                                       PlacementChoice choice, units::TimePoint now)
 {
     choice.isWaiting = false;
-    waiting_.remove(ticket);
+    queue_.remove(ticket);
     if (choice.endpoint == nullptr)
         return choice;
     const EndpointStatus &endpoint = *choice.endpoint;
     choice.endpoint->rateLimiter.onPlaced(shareFor(query), now);
     Placed &placed = placed_[ticket];
     placed = {choice.endpoint, choice.tokensToRead, now, query.needsShortPauses};
-    placed.isOnlyRead = query.runsModel && loads_.of(endpoint).tokensToRead == 0;
+    placed.isSolePrefill = query.runsModel && loads_.of(endpoint).tokensToRead == 0;
     loads_.add(endpoint, choice.tokensToRead);
     if (query.needsShortPauses)
-        reserve_.opened(endpoint.registration.pool);
+        reserve_.onStreamOpened(endpoint.registration.pool);
     if (query.runsModel && !query.sharedPart.empty()) {
-        const DiscoveredEndpoint &described = endpoint.registration;
-        if (memory_.remember(query.sharedPart, described, now))
-            newParts_.push_back({query.sharedPart, described.id, described.incarnation});
+        const DiscoveredEndpoint &registration = endpoint.registration;
+        if (prefixCache_.recordSent(query.sharedPart, registration, now))
+            unannouncedParts_.push_back(
+                {query.sharedPart, registration.id, registration.incarnation});
     }
     return choice;
 }
@@ -134,7 +136,7 @@
     std::vector<std::pair<PlacementTicket, PlacementChoice>> placed;
     std::int64_t drained = 0;
     const auto tryPlace = [&](const PlacementTicket &ticket) {
-        const PrefillQueue::Waiting *waiting = waiting_.find(ticket);
+        const PrefillQueue::Waiting *waiting = queue_.find(ticket);
         if (waiting == nullptr)
             return false;
         const PlacementQuery query = waiting->query;
@@ -145,32 +147,32 @@
         placed.emplace_back(ticket, commit(ticket, query, std::move(choice), now));
         return true;
     };
-    for (const PlacementTicket &ticket : waiting_.takeGivenUp(MaxTriedAtOnce, now)) {
+    for (const PlacementTicket &ticket : queue_.takeExpired(MaxTriedPerCall, now)) {
         placed.emplace_back(ticket, PlacementChoice{});
         placed.back().second.retryDelay = units::Duration::zero();
     }
-    for (const PlacementTicket &ticket : waiting_.next(MaxTriedAtOnce, now)) {
-        const PrefillQueue::Waiting *waiting = waiting_.find(ticket);
+    for (const PlacementTicket &ticket : queue_.next(MaxTriedPerCall, now)) {
+        const PrefillQueue::Waiting *waiting = queue_.find(ticket);
         const std::string part = waiting == nullptr ? std::string() : waiting->query.sharedPart;
         if (!tryPlace(ticket))
             continue;
-        // Those that wait for the same part need only their own tokens read now.
-        for (const PlacementTicket &same : waiting_.withPart(part))
+        // Requests with the same shared part now need only their own tokens prefilled.
+        for (const PlacementTicket &same : queue_.withSharedPart(part))
             tryPlace(same);
     }
-    if (waiting_.isEmpty())
-        forecaster_.idle();
+    if (queue_.isEmpty())
+        forecaster_.onQueueEmpty();
     else
-        forecaster_.drained(drained, now);
+        forecaster_.onDrained(drained, now);
     return placed;
 }
 
-bool RequestPlacer::hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxToRead) const
+bool RequestPlacer::hasRoomInReserve(const EndpointStatus &endpoint, std::int64_t maxBacklog) const
 {
-    return loads_.of(endpoint).tokensToRead < maxToRead;
+    return loads_.of(endpoint).tokensToRead < maxBacklog;
 }
 
-// Endpoints by the reserve; if it leaves none, all that can be used.
+// The usable endpoints on the request's side of the reserve; if there are none, all usable ones.
 RequestPlacer::Candidates
 RequestPlacer::candidatesFor(const PlacementQuery &query,
                              const std::vector<EndpointRegistry::Status> &available,
@@ -179,14 +181,14 @@
     const ShortPauseReserve::Endpoints &reserved
         = reserve_.endpoints(query.pool, available, now, query.poolServesShortPauses ? 1 : 0,
                              query.needsShortPauses ? 1 : 0);
-    const std::int64_t maxToRead = readSpeeds_.of(query.pool).tokensIn(MaxReadsInReserve, now);
+    const std::int64_t maxBacklog = prefillRates_.of(query.pool).tokensIn(MaxBacklogInReserve, now);
     Candidates usable;
     Candidates byReserve;
     for (const EndpointRegistry::Status &endpoint : available) {
         if (!isUsable(*endpoint, query, now))
             continue;
         usable.push_back(&endpoint);
-        const bool isFull = query.needsShortPauses && !hasRoomInReserve(*endpoint, maxToRead);
+        const bool isFull = query.needsShortPauses && !hasRoomInReserve(*endpoint, maxBacklog);
         const bool isReserved = reserved.count(endpoint.get()) != 0;
         if (isReserved == query.needsShortPauses && !isFull)
             byReserve.push_back(&endpoint);
@@ -203,33 +205,36 @@
     PlacementChoice choice;
     double best = std::numeric_limits<double>::infinity();
     const std::int64_t shared = query.promptTokens - query.ownTokens;
-    const PrefillRate &speed = readSpeeds_.of(query.pool);
-    const std::int64_t longRead = speed.tokensIn(LongRead, now);
-    const std::int64_t maxBefore = speed.tokensIn(MaxReadsBefore, now);
+    const PrefillRate &rate = prefillRates_.of(query.pool);
+    const std::int64_t longPrefill = rate.tokensIn(LongPrefill, now);
+    const std::int64_t maxBacklogTokens = rate.tokensIn(MaxBacklog, now);
     const EndpointStatus *first = firstByHash(query, candidates);
-    const std::vector<PrefixCacheIndex::Holder> *holders = memory_.holders(query.sharedPart);
-    const bool isKnownSomewhere
+    const std::vector<PrefixCacheIndex::Holder> *holders = prefixCache_.holders(query.sharedPart);
+    const bool isCachedSomewhere
         = std::any_of(candidates.begin(), candidates.end(), [&](const auto *endpoint) {
               return PrefixCacheIndex::holds(holders, (*endpoint)->registration, now);
           });
     for (const EndpointRegistry::Status *candidate : candidates) {
         const EndpointRegistry::Status &endpoint = *candidate;
-        const std::int64_t again
+        const std::int64_t sharedToPrefill
             = PrefixCacheIndex::holds(holders, endpoint->registration, now) ? 0 : shared;
-        const std::int64_t toRead = query.ownTokens + again;
+        const std::int64_t tokensToPrefill = query.ownTokens + sharedToPrefill;
         const EndpointLoad load = loads_.of(*endpoint);
-        // What a choice other than that of all hosts may cost later: a host that decides alone, or
-        // takes over, looks for the part on the first endpoint by hash.
-        const double detour = isKnownSomewhere ? double(again) * ReadAgainWeight
-            : endpoint.get() == first          ? 0.0
-                                               : double(shared) * DetourWeight;
-        const double delayOfStreams = double(toRead) * load.streams * ReadWeightPerStream;
-        const double cost = (double(load.tokensToRead + toRead) + delayOfStreams + detour)
+        // Penalty for deviating from the default choice: a host that places locally, or a new
+        // coordinator, looks for the part on the first endpoint by hash.
+        const double detourPenalty = isCachedSomewhere
+            ? double(sharedToPrefill) * RepeatedPrefillWeight
+            : endpoint.get() == first ? 0.0
+                                      : double(shared) * DetourPenaltyWeight;
+        const double streamDelay = double(tokensToPrefill) * load.streams * PrefillWeightPerStream;
+        const double cost
+            = (double(load.tokensToRead + tokensToPrefill) + streamDelay + detourPenalty)
             * penalty(*endpoint, now);
-        const bool hasRoom = toRead <= longRead || load.tokensToRead <= maxBefore;
+        const bool hasRoom
+            = tokensToPrefill <= longPrefill || load.tokensToRead <= maxBacklogTokens;
         if (cost < best) {
             best = cost;
-            choice = {endpoint, toRead};
+            choice = {endpoint, tokensToPrefill};
             choice.isWaiting = !hasRoom;
         }
     }
@@ -252,9 +257,9 @@
 }
 
 PlacementChoice
-RequestPlacer::chooseForPlain(const PlacementQuery &query,
-                              const std::vector<EndpointRegistry::Status> &available,
-                              units::TimePoint now) const
+RequestPlacer::chooseLeastLoaded(const PlacementQuery &query,
+                                 const std::vector<EndpointRegistry::Status> &available,
+                                 units::TimePoint now) const
 {
     PlacementChoice choice;
     double best = std::numeric_limits<double>::infinity();
@@ -272,20 +277,20 @@
     return choice;
 }
 
-void RequestPlacer::onEvent(const PlacementTicket &ticket, PlacementEvent news,
+void RequestPlacer::onEvent(const PlacementTicket &ticket, PlacementEvent event,
                             units::TimePoint now)
 {
-    waiting_.remove(ticket);
+    queue_.remove(ticket);
     const auto found = placed_.find(ticket);
     if (found == placed_.end())
         return;
     Placed &placed = found->second;
-    switch (news) {
+    switch (event) {
     case PlacementEvent::FirstEvent:
-        noteFirstEvent(placed, now);
+        onFirstEvent(placed, now);
         return;
     case PlacementEvent::EndpointSilent:
-        noteSilence(placed, now);
+        onEndpointSilent(placed, now);
         return;
     case PlacementEvent::Completed:
         loads_.addResult(*placed.endpoint, now);
@@ -296,17 +301,18 @@
     case PlacementEvent::Withdrawn:
         break;
     }
-    end(placed);
+    release(placed);
     placed_.erase(found);
 }
 
-void RequestPlacer::noteFirstEvent(Placed &placed, units::TimePoint now)
+void RequestPlacer::onFirstEvent(Placed &placed, units::TimePoint now)
 {
     const EndpointStatus &endpoint = *placed.endpoint;
     loads_.addResult(endpoint, now);
-    if (placed.isOnlyRead && endpoint.health.slowness(now) < MaxSlownessToLearnFrom)
-        readSpeeds_.onRead(endpoint.registration.pool, placed.tokensToRead, now - placed.at, now);
-    placed.isOnlyRead = false;
+    if (placed.isSolePrefill && endpoint.health.slowness(now) < MaxSlownessOfSamples)
+        prefillRates_.addSample(endpoint.registration.pool, placed.tokensToRead, now - placed.at,
+                                now);
+    placed.isSolePrefill = false;
     loads_.removeTokens(endpoint, placed.tokensToRead);
     placed.tokensToRead = 0;
     if (!placed.isStreaming)
@@ -314,7 +320,7 @@
     placed.isStreaming = true;
 }
 
-void RequestPlacer::noteSilence(const Placed &placed, units::TimePoint now)
+void RequestPlacer::onEndpointSilent(const Placed &placed, units::TimePoint now)
 {
     if (loads_.of(*placed.endpoint).lastResultAt < placed.at)
         placed.endpoint->health.onSilence(now);
@@ -341,7 +347,7 @@
     DiscoveredEndpoint endpoint;
     endpoint.id = part.endpoint;
     endpoint.incarnation = part.incarnation;
-    memory_.remember(part.part, endpoint, now);
+    prefixCache_.recordSent(part.part, endpoint, now);
 }
 
 int RequestPlacer::openRequests(const EndpointStatus &endpoint) const
@@ -354,26 +360,26 @@
     return loads_.of(endpoint).tokensToRead;
 }
 
-void RequestPlacer::end(const Placed &placed)
+void RequestPlacer::release(const Placed &placed)
 {
     if (placed.needsShortPauses)
-        reserve_.ended(placed.endpoint->registration.pool);
+        reserve_.onStreamEnded(placed.endpoint->registration.pool);
     loads_.end(*placed.endpoint, placed.tokensToRead, placed.isStreaming);
 }
 
-void RequestPlacer::forgetOld(units::TimePoint now)
+void RequestPlacer::removeExpired(units::TimePoint now)
 {
-    if (now < nextCleaning_)
+    if (now < nextCleanupAt_)
         return;
-    nextCleaning_ = now + CleaningInterval;
+    nextCleanupAt_ = now + CleanupInterval;
     for (auto entry = placed_.begin(); entry != placed_.end();) {
         Placed &placed = entry->second;
         if (now - placed.at >= MaxOpenTime) {
-            end(placed);
+            release(placed);
             entry = placed_.erase(entry);
             continue;
         }
-        if (placed.tokensToRead > 0 && now - placed.at >= MaxReadTime) {
+        if (placed.tokensToRead > 0 && now - placed.at >= MaxPrefillTime) {
             loads_.removeTokens(*placed.endpoint, placed.tokensToRead);
             placed.tokensToRead = 0;
         }
--- a/src/routing/retryafter.cpp
+++ b/src/routing/retryafter.cpp
@@ -8,37 +8,38 @@
 
 namespace {
 
-// An endpoint that was full has free slots after some request times (60 ms to 1 s).
-constexpr auto WhenEndpointFull = std::chrono::milliseconds(250);
-// A suspended or crashed endpoint comes back after 0.3 to 5 s.
-constexpr auto WhenNoEndpoint = std::chrono::milliseconds(600);
-// The store's news arrives again within a second of its return; another host may have it now.
-constexpr auto WhenConfigurationMissing = std::chrono::milliseconds(300);
-// Other hosts take requests now.
-constexpr auto WhenStopping = std::chrono::milliseconds(50);
-constexpr auto Min = std::chrono::milliseconds(50);
-
-units::Duration shortest(units::ResultCode reason)
+// A full endpoint has free slots after a few request durations (60 ms to 1 s).
+constexpr auto EndpointFullDelay = std::chrono::milliseconds(250);
+// A suspended or crashed endpoint is back after 0.3 to 5 s.
+constexpr auto NoEndpointDelay = std::chrono::milliseconds(600);
+// The configuration arrives within a second of the store's return; another host may have it now.
+constexpr auto NoConfigurationDelay = std::chrono::milliseconds(300);
+// Other hosts accept requests now.
+constexpr auto HostStoppingDelay = std::chrono::milliseconds(50);
+constexpr auto MinDelay = std::chrono::milliseconds(50);
+
+units::Duration baseDelay(units::ResultCode reason)
 {
     switch (reason) {
     case units::ResultCode::EndpointRefused:
-        return WhenEndpointFull;
+        return EndpointFullDelay;
     case units::ResultCode::NoConfiguration:
     case units::ResultCode::ConfigurationTooOld:
-        return WhenConfigurationMissing;
+        return NoConfigurationDelay;
     case units::ResultCode::RouterStopping:
-        return WhenStopping;
+        return HostStoppingDelay;
     default:
-        return WhenNoEndpoint;
+        return NoEndpointDelay;
     }
 }
 
-units::Duration spread(units::Duration from, const units::RequestId &request,
-                       units::Duration timeLeft)
+units::Duration withJitter(units::Duration delay, const units::RequestId &request,
+                           units::Duration timeLeft)
 {
-    const auto extra = std::chrono::duration_cast<units::Duration>(from * units::jitterOf(request));
-    return std::clamp<units::Duration>(from + extra, Min,
-                                       std::max<units::Duration>(Min, timeLeft / 3));
+    const auto jitter
+        = std::chrono::duration_cast<units::Duration>(delay * units::jitterOf(request));
+    return std::clamp<units::Duration>(delay + jitter, MinDelay,
+                                       std::max<units::Duration>(MinDelay, timeLeft / 3));
 }
 
 } // namespace
@@ -46,13 +47,14 @@
 units::Duration retryAfter(units::ResultCode reason, const units::RequestId &request,
                            units::Duration timeLeft)
 {
-    return spread(shortest(reason), request, timeLeft);
+    return withJitter(baseDelay(reason), request, timeLeft);
 }
 
 units::Duration retryAfter(units::Duration queueDrainsIn, const units::RequestId &request,
                            units::Duration timeLeft)
 {
-    return spread(std::max<units::Duration>(queueDrainsIn, WhenEndpointFull), request, timeLeft);
+    return withJitter(std::max<units::Duration>(queueDrainsIn, EndpointFullDelay), request,
+                      timeLeft);
 }
 
 } // namespace monsoongrade::routing
--- a/src/routing/retryallowance.cpp
+++ b/src/routing/retryallowance.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Hosts count live hosts a little differently for a moment, and a repeat arrives later than it is
-// counted here, so a tenth of the bound stays unused.
-constexpr double UsedShareOfBound = 0.9;
+// Hosts may briefly differ in their count of live hosts, and a retry arrives later than it is
+// counted here, so a tenth of the limit stays unused.
+constexpr double UsableShareOfLimit = 0.9;
 
 } // namespace
 
@@ -17,28 +17,28 @@
     requests_.push_back(now);
 }
 
-bool RetryAllowance::trySpend(const RetryLimit &bound, int hosts, units::TimePoint now)
+bool RetryAllowance::trySpend(const RetryLimit &limit, int hosts, units::TimePoint now)
 {
-    if (!hasLeft(bound, hosts, now))
+    if (!hasLeft(limit, hosts, now))
         return false;
-    repeats_.push_back(now);
+    retries_.push_back(now);
     return true;
 }
 
-bool RetryAllowance::hasLeft(const RetryLimit &bound, int hosts, units::TimePoint now)
+bool RetryAllowance::hasLeft(const RetryLimit &limit, int hosts, units::TimePoint now)
 {
-    forgetOld(bound, now);
+    removeExpired(limit, now);
     const double allowed
-        = bound.share * double(requests_.size()) + bound.fixed / std::max(hosts, 1);
-    return double(repeats_.size()) + 1 <= allowed * UsedShareOfBound;
+        = limit.share * double(requests_.size()) + limit.fixed / std::max(hosts, 1);
+    return double(retries_.size()) + 1 <= allowed * UsableShareOfLimit;
 }
 
-void RetryAllowance::forgetOld(const RetryLimit &bound, units::TimePoint now)
+void RetryAllowance::removeExpired(const RetryLimit &limit, units::TimePoint now)
 {
-    while (!requests_.empty() && now - requests_.front() >= bound.window)
+    while (!requests_.empty() && now - requests_.front() >= limit.window)
         requests_.pop_front();
-    while (!repeats_.empty() && now - repeats_.front() >= bound.window)
-        repeats_.pop_front();
+    while (!retries_.empty() && now - retries_.front() >= limit.window)
+        retries_.pop_front();
 }
 
 } // namespace monsoongrade::routing
--- a/src/routing/routetable.cpp
+++ b/src/routing/routetable.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Engines tell ten tiers apart.
+// Number of tiers that engines distinguish.
 constexpr std::uint32_t DistinctTiers = 10;
 
 std::string routeKey(const std::string &host, std::string_view prefix)
--- a/src/routing/shortpausereserve.cpp
+++ b/src/routing/shortpausereserve.cpp
@@ -9,20 +9,22 @@
 
 namespace {
 
-// A step with a full chunk of 4,096 tokens: 26 ms for the chunk at 157 tokens a millisecond, about
-// 8 ms for its attention to the 17,000 tokens of a long prompt, 7 ms for the streams' own tokens.
-constexpr auto StepWithChunk = std::chrono::milliseconds(41);
-// Streams on a kept endpoint as a share of its slots. At this load a step takes 6 to 10 ms with the
-// reading of their own short prompts, and a third of the slots is left for the next burst.
-constexpr double WantedShareOfSlots = 0.6;
-// Endpoints taken out of the reserve have none of the prompt parts that the others hold, and those
-// taken in stop using theirs. So the reserve does not follow each wave of the load.
-constexpr auto KeepSizeFor = std::chrono::seconds(5);
-// Endpoints that came, went or failed are noticed after this time. Hashing 60 endpoints for each
-// request would double the time of a decision.
-constexpr auto ChooseInterval = std::chrono::milliseconds(100);
-// An endpoint that answers this many times as slowly as expected is not kept: streams would pause
-// there without any long read.
+// Duration of a step with a full chunk of 4,096 tokens: 26 ms for the chunk at 157 tokens per
+// millisecond, about 8 ms for its attention to the 17,000 tokens of a long prompt, and 7 ms to
+// decode the streams' own tokens.
+constexpr auto StepTimeWithChunk = std::chrono::milliseconds(41);
+// Target utilization of a reserved endpoint's slots. At this load a step takes 6 to 10 ms including
+// the prefill of short prompts, and a third of the slots is left for the next burst.
+constexpr double TargetUtilization = 0.6;
+// Delay before the reserve shrinks, so that it does not follow each fluctuation of the load:
+// endpoints that leave it have none of the parts cached on the others, and those that join it stop
+// using theirs.
+constexpr auto ShrinkDelay = std::chrono::seconds(5);
+// Interval at which added, removed or failed endpoints are taken into account. Hashing 60 endpoints
+// for each request would double the time of a placement.
+constexpr auto SelectionInterval = std::chrono::milliseconds(100);
+// An endpoint slower than expected by this factor is not reserved: its event gaps would be too long
+// even without long prefills.
 constexpr double MaxSlowness = 2;
 
 std::uint64_t hashOf(const EndpointStatus &endpoint)
@@ -35,18 +37,18 @@
 bool needsShortPauses(const Route &route, int tokensPerEvent)
 {
     return route.kind == RouteKind::Stream
-        && route.maxEventGap < tokensPerEvent * units::Duration(StepWithChunk);
+        && route.maxEventGap < tokensPerEvent * units::Duration(StepTimeWithChunk);
 }
 
-void ShortPauseReserve::opened(const units::PoolName &pool)
+void ShortPauseReserve::onStreamOpened(const units::PoolName &pool)
 {
-    ++pools_[pool.value()].open;
+    ++pools_[pool.value()].openStreams;
 }
 
-void ShortPauseReserve::ended(const units::PoolName &pool)
+void ShortPauseReserve::onStreamEnded(const units::PoolName &pool)
 {
     Pool &state = pools_[pool.value()];
-    state.open = std::max(state.open - 1, 0);
+    state.openStreams = std::max(state.openStreams - 1, 0);
 }
 
 const ShortPauseReserve::Endpoints &
@@ -57,23 +59,25 @@
     Pool &state = pools_[pool.value()];
     const int slots = available.empty() ? 1 : std::max(available.front()->registration.slots, 1);
     const auto wanted = std::max(
-        minSize, std::size_t(std::ceil((state.open + arriving) / (slots * WantedShareOfSlots))));
-    const bool isDue = now >= state.chosenAt + ChooseInterval;
+        minSize,
+        std::size_t(std::ceil((state.openStreams + arriving) / (slots * TargetUtilization))));
+    const bool isDue = now >= state.selectedAt + SelectionInterval;
     if (wanted >= state.size)
-        state.keepSizeUntil = now + KeepSizeFor;
+        state.keepSizeUntil = now + ShrinkDelay;
     if (wanted > state.size || (wanted < state.size && now >= state.keepSizeUntil)) {
         state.size = wanted;
-        choose(state, available, now);
+        selectEndpoints(state, available, now);
     } else if (isDue) {
-        choose(state, available, now);
+        selectEndpoints(state, available, now);
     }
     return state.endpoints;
 }
 
-void ShortPauseReserve::choose(Pool &pool, const std::vector<EndpointRegistry::Status> &available,
-                               units::TimePoint now)
+void ShortPauseReserve::selectEndpoints(Pool &pool,
+                                        const std::vector<EndpointRegistry::Status> &available,
+                                        units::TimePoint now)
 {
-    pool.chosenAt = now;
+    pool.selectedAt = now;
     pool.endpoints.clear();
     std::vector<std::pair<std::uint64_t, const EndpointStatus *>> usable;
     for (const EndpointRegistry::Status &endpoint : available) {
--- a/src/routing/storeoutage.cpp
+++ b/src/routing/storeoutage.cpp
@@ -8,7 +8,7 @@
                         const std::vector<PeerUpdate> &hosts)
 {
     return std::none_of(hosts.begin(), hosts.end(), [&](const PeerUpdate &host) {
-        // What the host said some time ago may have ended since, which its age leaves out.
+        // The host's state may have changed since it was sent, so its age is not counted.
         return host.ip != ownIp && host.storeReachableFor > away + host.age;
     });
 }
--- a/src/routing/storereaders.cpp
+++ b/src/routing/storereaders.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-// News of a host reaches all others within about a second, also in a large fleet.
-constexpr auto SettledAfter = std::chrono::milliseconds(3000);
+// Gossip about a host reaches all others within about a second, also in a large fleet.
+constexpr auto KnownFleetWideAfter = std::chrono::milliseconds(3000);
 
 std::uint64_t hashOf(const std::string &ip)
 {
     return units::spreadHash({"store-reader", ip});
 }
 
-// The least goes first: refused, just started, processor, hash; the IP last.
+// Sort key, ascending: refused by the store, recently started, negated CPU, hash, IP.
 using Candidate = std::tuple<bool, bool, int, std::uint64_t, std::string_view>;
 
 Candidate candidate(const PeerUpdate &host)
@@ -39,7 +39,7 @@
 
 bool isKnownFleetWide(const PeerUpdate &host)
 {
-    return host.uptime + host.age >= SettledAfter;
+    return host.uptime + host.age >= KnownFleetWideAfter;
 }
 
 std::vector<std::string> storeReaders(const std::vector<PeerUpdate> &hosts, std::size_t count,
@@ -56,9 +56,9 @@
         const std::size_t best = std::min(count, ofDomain.size());
         std::partial_sort(ofDomain.begin(), ofDomain.begin() + std::ptrdiff_t(best),
                           ofDomain.end());
-        for (std::size_t place = 0; place < best; ++place) {
-            const Candidate &each = ofDomain[place];
-            ranked.emplace_back(std::get<0>(each), std::get<1>(each), place, each);
+        for (std::size_t rank = 0; rank < best; ++rank) {
+            const Candidate &each = ofDomain[rank];
+            ranked.emplace_back(std::get<0>(each), std::get<1>(each), rank, each);
         }
     }
     std::sort(ranked.begin(), ranked.end());
@@ -74,7 +74,7 @@
                                      const std::vector<PeerUpdate> &hosts)
 {
     const units::FailureDomain ownDomain = domainOf(ownIp, hosts);
-    const auto far
+    const auto firstRemote
         = std::stable_partition(readers.begin(), readers.end(), [&](const std::string &ip) {
               return domainOf(ip, hosts) == ownDomain;
           });
@@ -83,8 +83,8 @@
             std::rotate(begin, begin + std::ptrdiff_t(hashOf(ownIp) % std::size_t(end - begin)),
                         end);
     };
-    spread(readers.begin(), far);
-    spread(far, readers.end());
+    spread(readers.begin(), firstRemote);
+    spread(firstRemote, readers.end());
     return readers;
 }
 
--- a/src/routing/storesourceselector.cpp
+++ b/src/routing/storesourceselector.cpp
@@ -6,48 +6,48 @@
 
 namespace {
 
-// Pauses between calls to a store that does not answer: doubled from the first to the longest. The
-// longest is what the store's return may cost until it is noticed.
-constexpr auto FirstPause = std::chrono::milliseconds(100);
-constexpr auto MaxPause = std::chrono::milliseconds(500);
+// Exponential backoff between calls to a store that does not respond. The maximum bounds the time
+// until the store's return is noticed.
+constexpr auto InitialBackoff = std::chrono::milliseconds(100);
+constexpr auto MaxBackoff = std::chrono::milliseconds(500);
 constexpr int MaxDoublings = 3;
-// While the store fails, one call at a time shows whether it is back. A probe that has not ended by
-// now is one whose end was never told.
-constexpr auto ProbeEndsWithin = std::chrono::milliseconds(3000);
-constexpr auto ProbePoll = std::chrono::milliseconds(50);
-constexpr auto RefusedFor = std::chrono::seconds(6);
-// A host that did not answer is asked again after this time, if it is still a reader.
-constexpr auto AvoidSilentFor = std::chrono::seconds(4);
-constexpr auto AvoidWithoutStoreFor = std::chrono::milliseconds(1000);
-// An asker that stops asking has found another reader.
-constexpr auto ReadForAskersFor = std::chrono::seconds(3);
-// A store that lost one answer gives the next one within this time.
-constexpr auto SoonBack = std::chrono::milliseconds(250);
-// Two lost hosts in a row can be bad luck with the path to them; waiting for a third would take
-// longer than the configuration may go without a proof.
-constexpr int MaxSilentInRow = 2;
-// In a large fleet the lists that the hosts would read instead are long, and a reader that takes
-// over has many askers at once.
-constexpr int MaxSilentInRowOfLargeFleet = 4;
-// Hosts that hold all objects, so that one can take over from a reader without reading a list.
-constexpr std::size_t HostsStandingBy = 18;
-constexpr auto AloneFor = std::chrono::seconds(3);
-// A refused connection shows at once that a process is gone, and says nothing about the path.
-constexpr auto SilenceOfPath = std::chrono::milliseconds(300);
-// While nobody has the store, more hosts try it: the store may be turning away just the readers.
-constexpr auto WidenAfter = std::chrono::milliseconds(700);
+// While the store fails, one call at a time probes whether it is back. A probe without a result
+// after this time is considered lost.
+constexpr auto ProbeTimeout = std::chrono::milliseconds(3000);
+constexpr auto ProbePollInterval = std::chrono::milliseconds(50);
+constexpr auto RefusalPeriod = std::chrono::seconds(6);
+// A host that did not respond is skipped for this time.
+constexpr auto SkipUnresponsiveFor = std::chrono::seconds(4);
+constexpr auto SkipWithoutStoreFor = std::chrono::milliseconds(1000);
+// A host that stops calling has found another reader.
+constexpr auto ReadOnRequestFor = std::chrono::seconds(3);
+// A store that lost a single response gives the next one within this time.
+constexpr auto TransientFailureTime = std::chrono::milliseconds(250);
+// Two consecutive hosts may be unreachable by chance; waiting for a third would take longer than
+// the configuration may stay unverified.
+constexpr int MaxConsecutiveTimeouts = 2;
+// Higher in a large fleet: the lists that hosts would read from the store instead are long, and a
+// reader that takes over is called by many hosts at once.
+constexpr int MaxConsecutiveTimeoutsInLargeFleet = 4;
+// Number of hosts that hold all objects, so that they can take over from a reader without a list.
+constexpr std::size_t StandbyHostCount = 18;
+constexpr auto ReadWhenIsolatedFor = std::chrono::seconds(3);
+// A connection refused sooner than this means that the process is gone, not that the network is.
+constexpr auto MinNetworkTimeout = std::chrono::milliseconds(300);
+// While no host reaches the store, more hosts try it: it may be refusing only the readers.
+constexpr auto WideningInterval = std::chrono::milliseconds(700);
 constexpr std::size_t MaxWidening = 3;
-// A starting host hears from a running one within milliseconds. Where a whole fleet starts, within
-// 300 ms, the hosts that the settings name may be the last.
-constexpr auto WaitForFirstNews = std::chrono::milliseconds(320);
-constexpr auto StartingTogether = std::chrono::milliseconds(4000);
-// Beyond this, a fleet that is known to be small is one.
-constexpr auto SmallFleetShows = std::chrono::milliseconds(1000);
-constexpr auto StartPoll = std::chrono::milliseconds(5);
-// In a large fleet the hosts that the settings name may have small links. By this time the gossip
-// has told of enough large hosts to read instead.
-constexpr auto LargeHostsShow = std::chrono::milliseconds(700);
-constexpr auto LargeStartPoll = std::chrono::milliseconds(50);
+// A starting host hears from a running one within milliseconds. When a whole fleet starts, which
+// takes up to 300 ms, the seed hosts may be the last to start.
+constexpr auto FirstGossipTimeout = std::chrono::milliseconds(320);
+constexpr auto FleetStartupTime = std::chrono::milliseconds(4000);
+// A fleet that still appears small after this time is small.
+constexpr auto SmallFleetDetectionTime = std::chrono::milliseconds(1000);
+constexpr auto StartupPollInterval = std::chrono::milliseconds(5);
+// In a large fleet the seed hosts may have little bandwidth. By this time enough large hosts are
+// known by gossip to read from the store instead.
+constexpr auto LargeFleetStartupDelay = std::chrono::milliseconds(700);
+constexpr auto LargeFleetPollInterval = std::chrono::milliseconds(50);
 
 StoreSource waitFor(units::Duration time)
 {
@@ -57,12 +57,12 @@
     return source;
 }
 
-StoreSource askHost(const std::string &host, bool isPatient)
+StoreSource callHost(const std::string &host, bool waitsForStore)
 {
     StoreSource source;
     source.kind = StoreSource::Kind::Host;
     source.host = host;
-    source.waitsForStore = isPatient;
+    source.waitsForStore = waitsForStore;
     return source;
 }
 
@@ -79,7 +79,7 @@
     return keys;
 }
 
-void eraseOld(std::map<std::string, units::TimePoint> &times, units::TimePoint now)
+void eraseExpired(std::map<std::string, units::TimePoint> &times, units::TimePoint now)
 {
     for (auto each = times.begin(); each != times.end();)
         each = now >= each->second ? times.erase(each) : std::next(each);
@@ -98,50 +98,50 @@
 StoreSource StoreSourceSelector::next(const std::vector<PeerUpdate> &hosts, bool hasContent,
                                       units::TimePoint now)
 {
-    forgetOld(now);
+    removeExpired(now);
     if (std::none_of(hosts.begin(), hosts.end(), isKnownFleetWide)
-        && now < startedAt_ + StartingTogether)
-        return whileStarting(hosts, hasContent, now);
+        && now < startedAt_ + FleetStartupTime)
+        return nextDuringStartup(hosts, hasContent, now);
     const std::vector<std::string> readers
-        = storeReaders(hosts, readersNow(now), keysOf(silentUntil_));
-    isReader_ = hosts.size() <= MaxHostsReadingDirectly || shouldRead(readers, now);
+        = storeReaders(hosts, readerCount(now), keysOf(unresponsiveUntil_));
+    isReader_ = hosts.size() <= MaxHostsReadingDirectly || shouldBeReader(readers, now);
     if (isReader_)
         return fromStore(hosts, now);
     StoreSource source = fromHosts(readers, hosts);
-    source.wantsAllObjects = isFleetLarge_ && standsBy(hosts);
+    source.wantsAllObjects = isFleetLarge_ && isStandby(hosts);
     return source;
 }
 
-// Stays so: a host that left and came back would list all objects each time.
-bool StoreSourceSelector::standsBy(const std::vector<PeerUpdate> &hosts)
+// Never reset: a host that left and rejoined the standbys would list all objects each time.
+bool StoreSourceSelector::isStandby(const std::vector<PeerUpdate> &hosts)
 {
-    standsBy_ = standsBy_ || contains(storeReaders(hosts, HostsStandingBy), ownIp_);
-    return standsBy_;
+    isStandby_ = isStandby_ || contains(storeReaders(hosts, StandbyHostCount), ownIp_);
+    return isStandby_;
 }
 
-bool StoreSourceSelector::shouldRead(const std::vector<std::string> &readers,
-                                     units::TimePoint now) const
+bool StoreSourceSelector::shouldBeReader(const std::vector<std::string> &readers,
+                                         units::TimePoint now) const
 {
-    if (now < aloneUntil_)
+    if (now < isolatedUntil_)
         return true;
     if (isRefused(now))
         return false;
-    return now < askedUntil_ || contains(readers, ownIp_) || readers.empty();
+    return now < requestedUntil_ || contains(readers, ownIp_) || readers.empty();
 }
 
-// The fleet starts as a whole, or this host is the first to start: nobody can say who reads, but
-// the settings name the same few hosts to all.
-StoreSource StoreSourceSelector::whileStarting(const std::vector<PeerUpdate> &hosts,
-                                               bool hasContent, units::TimePoint now)
+// The whole fleet is starting, or this host is the first to start: the readers can't be computed
+// yet, but the same seed hosts are configured everywhere.
+StoreSource StoreSourceSelector::nextDuringStartup(const std::vector<PeerUpdate> &hosts,
+                                                   bool hasContent, units::TimePoint now)
 {
     if (isFleetLarge_)
-        return whileLargeFleetStarts(hosts, hasContent, now);
+        return nextDuringLargeFleetStartup(hosts, hasContent, now);
     const bool isAlone = hosts.size() <= 1;
-    const bool isWaitOver = now >= startedAt_ + WaitForFirstNews;
+    const bool isWaitOver = now >= startedAt_ + FirstGossipTimeout;
     const bool isSmall
-        = hosts.size() <= MaxHostsReadingDirectly && now >= startedAt_ + SmallFleetShows;
-    isReader_ = seeds_.empty() || seeds_.count(ownIp_) != 0 || now < aloneUntil_
-        || now < askedUntil_ || (isAlone && isWaitOver) || isSmall;
+        = hosts.size() <= MaxHostsReadingDirectly && now >= startedAt_ + SmallFleetDetectionTime;
+    isReader_ = seeds_.empty() || seeds_.count(ownIp_) != 0 || now < isolatedUntil_
+        || now < requestedUntil_ || (isAlone && isWaitOver) || isSmall;
     if (isReader_)
         return fromStore(hosts, now);
     if (!hasContent && !isStaleListUseless_) {
@@ -151,25 +151,25 @@
     }
     std::vector<std::string> readers;
     for (const PeerUpdate &host : hosts) {
-        if (seeds_.count(host.ip) != 0 && silentUntil_.count(host.ip) == 0)
+        if (seeds_.count(host.ip) != 0 && unresponsiveUntil_.count(host.ip) == 0)
             readers.push_back(host.ip);
     }
     if (!readers.empty())
         return fromHosts(std::move(readers), hosts);
     if (!isWaitOver)
-        return waitFor(StartPoll);
+        return waitFor(StartupPollInterval);
     isReader_ = true;
     return fromStore(hosts, now);
 }
 
-StoreSource StoreSourceSelector::whileLargeFleetStarts(const std::vector<PeerUpdate> &hosts,
-                                                       bool hasContent, units::TimePoint now)
+StoreSource StoreSourceSelector::nextDuringLargeFleetStartup(const std::vector<PeerUpdate> &hosts,
+                                                             bool hasContent, units::TimePoint now)
 {
-    if (now < startedAt_ + LargeHostsShow)
-        return waitFor(LargeStartPoll);
+    if (now < startedAt_ + LargeFleetStartupDelay)
+        return waitFor(LargeFleetPollInterval);
     const std::vector<std::string> readers
-        = storeReaders(hosts, readersNow(now), keysOf(silentUntil_));
-    isReader_ = shouldRead(readers, now);
+        = storeReaders(hosts, readerCount(now), keysOf(unresponsiveUntil_));
+    isReader_ = shouldBeReader(readers, now);
     if (!isReader_)
         return fromHosts(readers, hosts);
     StoreSource store = fromStore(hosts, now);
@@ -185,16 +185,17 @@
     store.servesOtherHosts = hosts.size() > MaxHostsReadingDirectly;
     if (storeFailures_ == 0)
         return store;
-    const bool mayCall = now >= nextProbeAt_ && (!isProbing_ || now >= probeEndsBy_);
+    const bool mayCall = now >= nextProbeAt_ && (!isProbing_ || now >= probeTimeoutAt_);
     if (mayCall) {
         isProbing_ = true;
-        probeEndsBy_ = now + ProbeEndsWithin;
+        probeTimeoutAt_ = now + ProbeTimeout;
         return store;
     }
-    // Another reader may have the store, which shows that it turns this host away.
-    if (store.servesOtherHosts && now >= storeFailingSince_ + SoonBack && now >= aloneUntil_)
-        return fromHosts(storeReaders(hosts, readersNow(now), keysOf(silentUntil_)), hosts);
-    return waitFor(isProbing_ ? units::Duration(ProbePoll) : nextProbeAt_ - now);
+    // If another reader reaches the store, the store refuses this host.
+    if (store.servesOtherHosts && now >= storeFailingSince_ + TransientFailureTime
+        && now >= isolatedUntil_)
+        return fromHosts(storeReaders(hosts, readerCount(now), keysOf(unresponsiveUntil_)), hosts);
+    return waitFor(isProbing_ ? units::Duration(ProbePollInterval) : nextProbeAt_ - now);
 }
 
 StoreSource StoreSourceSelector::fromHosts(std::vector<std::string> readers,
@@ -203,61 +204,62 @@
     readers = readerOrder(ownIp_, std::move(readers), hosts);
     readers.erase(std::remove(readers.begin(), readers.end(), ownIp_), readers.end());
     if (readers.empty())
-        return waitFor(StartPoll);
+        return waitFor(StartupPollInterval);
     for (const std::string &host : readers) {
         if (withoutStoreUntil_.count(host) == 0)
-            return askHost(host, false);
+            return callHost(host, false);
     }
-    // All have lost it. The one asked answers when it is back.
-    return askHost(readers.front(), true);
+    // No reader reaches the store. The one called responds when it is back.
+    return callHost(readers.front(), true);
 }
 
-std::size_t StoreSourceSelector::readersNow(units::TimePoint now) const
+std::size_t StoreSourceSelector::readerCount(units::TimePoint now) const
 {
-    if (!nothingSince_)
+    if (!unreachableSince_)
         return StoreReaderCount;
-    const auto steps = std::size_t((now - *nothingSince_) / units::Duration(WidenAfter));
+    const auto steps = std::size_t((now - *unreachableSince_) / units::Duration(WideningInterval));
     return StoreReaderCount * std::min(1 + steps, MaxWidening);
 }
 
-void StoreSourceSelector::onHostAnswered(const std::string &host, units::TimePoint provenAt,
+void StoreSourceSelector::onHostAnswered(const std::string &host, units::TimePoint currentAsOf,
                                          units::TimePoint now)
 {
-    if (storeFailures_ > 0 && provenAt > storeFailingSince_) {
-        refusedUntil_ = now + RefusedFor;
+    if (storeFailures_ > 0 && currentAsOf > storeFailingSince_) {
+        refusedUntil_ = now + RefusalPeriod;
         storeFailures_ = 0;
         isProbing_ = false;
         isReader_ = false;
     }
-    silentInRow_ = 0;
-    nothingSince_.reset();
+    consecutiveTimeouts_ = 0;
+    unreachableSince_.reset();
     withoutStoreUntil_.erase(host);
 }
 
 void StoreSourceSelector::onHostWithoutStore(const std::string &host, units::TimePoint now)
 {
-    silentInRow_ = 0;
-    withoutStoreUntil_[host] = now + AvoidWithoutStoreFor;
-    if (!nothingSince_)
-        nothingSince_ = now;
+    consecutiveTimeouts_ = 0;
+    withoutStoreUntil_[host] = now + SkipWithoutStoreFor;
+    if (!unreachableSince_)
+        unreachableSince_ = now;
 }
 
 void StoreSourceSelector::onHostTimeout(const std::string &host, units::TimePoint calledAt,
                                         units::TimePoint now)
 {
-    silentUntil_[host] = now + AvoidSilentFor;
-    const int maxSilent = isFleetLarge_ ? MaxSilentInRowOfLargeFleet : MaxSilentInRow;
-    if (now - calledAt < SilenceOfPath || ++silentInRow_ < maxSilent)
+    unresponsiveUntil_[host] = now + SkipUnresponsiveFor;
+    const int maxTimeouts
+        = isFleetLarge_ ? MaxConsecutiveTimeoutsInLargeFleet : MaxConsecutiveTimeouts;
+    if (now - calledAt < MinNetworkTimeout || ++consecutiveTimeouts_ < maxTimeouts)
         return;
-    silentInRow_ = 0;
-    aloneUntil_ = now + AloneFor;
+    consecutiveTimeouts_ = 0;
+    isolatedUntil_ = now + ReadWhenIsolatedFor;
 }
 
 void StoreSourceSelector::onStoreAnswered()
 {
     storeFailures_ = 0;
     isProbing_ = false;
-    nothingSince_.reset();
+    unreachableSince_.reset();
 }
 
 void StoreSourceSelector::onStoreFailed(units::TimePoint now)
@@ -265,26 +267,26 @@
     isProbing_ = false;
     if (storeFailures_ == 0)
         storeFailingSince_ = now;
-    if (!nothingSince_)
-        nothingSince_ = now;
-    const units::Duration pause = std::min<units::Duration>(
-        FirstPause * (1 << std::min(storeFailures_, MaxDoublings)), MaxPause);
+    if (!unreachableSince_)
+        unreachableSince_ = now;
+    const units::Duration backoff = std::min<units::Duration>(
+        InitialBackoff * (1 << std::min(storeFailures_, MaxDoublings)), MaxBackoff);
     ++storeFailures_;
-    nextProbeAt_ = now + pause;
+    nextProbeAt_ = now + backoff;
 }
 
 bool StoreSourceSelector::onReadRequested(units::TimePoint now)
 {
     if (isRefused(now))
         return false;
-    askedUntil_ = now + ReadForAskersFor;
-    return storeFailures_ == 0 || now < storeFailingSince_ + SoonBack;
+    requestedUntil_ = now + ReadOnRequestFor;
+    return storeFailures_ == 0 || now < storeFailingSince_ + TransientFailureTime;
 }
 
-void StoreSourceSelector::forgetOld(units::TimePoint now)
+void StoreSourceSelector::removeExpired(units::TimePoint now)
 {
-    eraseOld(silentUntil_, now);
-    eraseOld(withoutStoreUntil_, now);
+    eraseExpired(unresponsiveUntil_, now);
+    eraseExpired(withoutStoreUntil_, now);
 }
 
 } // namespace monsoongrade::routing
--- a/tests/routing/coordinatorselector_test.cpp
+++ b/tests/routing/coordinatorselector_test.cpp
@@ -14,34 +14,35 @@
 
 } // namespace
 
-TEST_CASE("CoordinatorSelector.FrozenHostIsLeftOutForASecond")
+TEST_CASE("CoordinatorSelector.FrozenHostIsSkippedForOneSecond")
 {
-    // The placing host freezes. Each ask to it would cost its timeout until gossip notices, a
-    // second and a half later.
-    CoordinatorSelector trust;
-    CHECK_FALSE(trust.onAnswerOverdue("a", Start, Start + milliseconds(25)));
-    CHECK(trust.selectHost(Order, "own", Start + milliseconds(25)) == "a");
-    CHECK(trust.onAnswerOverdue("a", Start + milliseconds(25), Start + milliseconds(50)));
-    CHECK(trust.selectHost(Order, "own", Start + milliseconds(60)) == "b");
-    CHECK(trust.selectHost(Order, "own", Start + milliseconds(1100)) == "a");
+    // The coordinator freezes. Each query to it would cost a timeout until gossip detects the
+    // failure, a second and a half later.
+    CoordinatorSelector selector;
+    CHECK_FALSE(selector.onAnswerOverdue("a", Start, Start + milliseconds(25)));
+    CHECK(selector.selectHost(Order, "own", Start + milliseconds(25)) == "a");
+    CHECK(selector.onAnswerOverdue("a", Start + milliseconds(25), Start + milliseconds(50)));
+    CHECK(selector.selectHost(Order, "own", Start + milliseconds(60)) == "b");
+    CHECK(selector.selectHost(Order, "own", Start + milliseconds(1100)) == "a");
 }
 
-TEST_CASE("CoordinatorSelector.ManyOverdueAnswersAtOneMomentAreOneSilence")
+TEST_CASE("CoordinatorSelector.SimultaneousTimeoutsCountOnce")
 {
-    // This host was stopped for 30 ms. Ten answers are overdue when it goes on, and lie unread in
-    // its socket: the placing host is well.
-    CoordinatorSelector trust;
+    // This host was throttled for 30 ms. When it resumes, ten answers are overdue but wait unread
+    // in its socket: the coordinator is healthy.
+    CoordinatorSelector selector;
     for (int i = 0; i < 10; ++i)
-        CHECK_FALSE(trust.onAnswerOverdue("a", Start + milliseconds(i), Start + milliseconds(35)));
-    trust.onAnswer("a");
-    CHECK_FALSE(trust.onAnswerOverdue("a", Start + milliseconds(40), Start + milliseconds(65)));
+        CHECK_FALSE(
+            selector.onAnswerOverdue("a", Start + milliseconds(i), Start + milliseconds(35)));
+    selector.onAnswer("a");
+    CHECK_FALSE(selector.onAnswerOverdue("a", Start + milliseconds(40), Start + milliseconds(65)));
 }
 
-TEST_CASE("CoordinatorSelector.HostThatIsNextItselfAsksNobody")
+TEST_CASE("CoordinatorSelector.SelectsNoHostWhenOwnHostIsNext")
 {
-    CoordinatorSelector trust;
-    trust.onAnswerOverdue("a", Start, Start + milliseconds(50));
-    trust.onAnswerOverdue("b", Start, Start + milliseconds(50));
-    CHECK(trust.selectHost(Order, "own", Start + milliseconds(60)).empty());
-    CHECK(trust.selectHost({}, "own", Start).empty());
+    CoordinatorSelector selector;
+    selector.onAnswerOverdue("a", Start, Start + milliseconds(50));
+    selector.onAnswerOverdue("b", Start, Start + milliseconds(50));
+    CHECK(selector.selectHost(Order, "own", Start + milliseconds(60)).empty());
+    CHECK(selector.selectHost({}, "own", Start).empty());
 }
--- a/tests/routing/placementburst_test.cpp
+++ b/tests/routing/placementburst_test.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-// More plans arrive than can be read; their prompts differ by a factor of a thousand. Callers with
-// long prompts wait at the placing host. If their own size counts against them there, they are
-// refused or leave, while the short ones pass them by.
-void checkThatLongPromptsAreServed(double tokensReadPerMs)
+// Guards against refusing long prompts in favor of short ones in an overload. More plans arrive
+// than can be prefilled, with prompt sizes that differ by a factor of a thousand. If a request's
+// own size counted against it in the queue, long ones would be refused or time out.
+void checkThatLongPromptsAreServed(double prefillTokensPerMs)
 {
     SimulatedPool::Options options;
     options.endpoints = 10;
     options.length = std::chrono::seconds(16);
-    options.engine.tokensReadPerMs = tokensReadPerMs;
-    options.slots = std::max(64, int(64 * tokensReadPerMs / 66)); // reading is what is short
+    options.engine.prefillTokensPerMs = prefillTokensPerMs;
+    options.slots = std::max(64, int(64 * prefillTokensPerMs / 66)); // prefill is the bottleneck
     options.engine.tokensPerEvent = 5;
     options.engine.chunkTokens = 2048;
-    options.engine.attentionMsPerMillionPairs = 0.276 * 66 / tokensReadPerMs;
-    SimulatedPool pool(options, overloadOfMixedSizes(tokensReadPerMs));
+    options.engine.attentionMsPerMillionPairs = 0.276 * 66 / prefillTokensPerMs;
+    SimulatedPool pool(options, overloadOfMixedSizes(prefillTokensPerMs));
     const SimulatedOutcome plans = pool.play().at("plan");
     const double all = double(plans.served()) / plans.asked;
     const double largest = double(plans.largestServed) / plans.largest;
@@ -34,12 +34,12 @@
 
 } // namespace
 
-TEST_CASE("PlacementBurst.SummariesStayOnTimeBesideABurstOfColdPrompts")
+TEST_CASE("PlacementBurst.SummariesMeetTargetsDuringBurstOfUncachedPrompts")
 {
-    // All coaches ask for breakdowns at once and no prompt is cached: they arrive faster than they
-    // can be read. Summaries of a higher tier, which may pause for 200 ms only, come beside them.
-    // Without endpoints of their own, most summaries pause too long; without waiting at the placing
-    // host, the endpoints' queues grow and first events of all classes are late.
+    // A burst of uncached breakdowns arrives faster than it can be prefilled, together with
+    // summaries of a higher tier, whose event gaps may be at most 200 ms. Without reserved
+    // endpoints, the gaps of most summaries are too long; without a queue at the coordinator, the
+    // endpoints' queues grow and first events of all classes are late.
     SimulatedPool::Options options;
     options.endpoints = 12;
     options.length = std::chrono::seconds(5);
--- a/tests/routing/placinghosts_test.cpp
+++ b/tests/routing/placinghosts_test.cpp
@@ -16,11 +16,11 @@
 
 PeerUpdate host(const std::string &ip, units::Duration uptime, PeerState state = PeerState::Serving)
 {
-    PeerUpdate news;
-    news.ip = ip;
-    news.uptime = uptime;
-    news.state = state;
-    return news;
+    PeerUpdate update;
+    update.ip = ip;
+    update.uptime = uptime;
+    update.state = state;
+    return update;
 }
 
 std::vector<std::string> orderOf(const std::vector<PeerUpdate> &hosts)
@@ -29,7 +29,7 @@
     return rankCoordinators(hosts, work);
 }
 
-// A fleet of two sizes of hosts, some of which have started lately.
+// A fleet of small and large hosts, some of which have started recently.
 std::vector<PeerUpdate> mixedFleet(int size)
 {
     std::vector<PeerUpdate> hosts;
@@ -41,7 +41,7 @@
     return hosts;
 }
 
-// Chooses the best host again and again, by the words of rankCoordinators's contract.
+// Reference implementation: chooses the best of the remaining hosts repeatedly.
 std::vector<std::string> orderByRepeatedChoice(std::vector<PeerUpdate> hosts)
 {
     const auto hashOf = [](const PeerUpdate &each) {
@@ -72,10 +72,10 @@
 
 } // namespace
 
-TEST_CASE("PlacingHosts.RestartedHostDoesNotTakeThePlacingBack")
+TEST_CASE("CoordinatorRanking.RestartedHostIsRankedLast")
 {
-    // The placing host is killed and restarts with nothing in memory. Whoever took over keeps the
-    // placing, because it knows what is cached where.
+    // The coordinator is killed and restarts without state. The host that took over remains
+    // coordinator, because it knows what is cached where.
     std::vector<PeerUpdate> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(60)),
                                   host("10.0.0.3", seconds(60))};
     const std::string first = orderOf(hosts)[0];
@@ -88,9 +88,9 @@
     CHECK(after.back() == first);
 }
 
-TEST_CASE("PlacingHosts.HostsOfAboutTheSameAgeAreOrderedAlikeEverywhere")
+TEST_CASE("CoordinatorRanking.HostsOfSimilarAgeAreRankedIdenticallyEverywhere")
 {
-    // All start within 0.3 s, and the ages that a host hears differ by some hundred milliseconds.
+    // All start within 0.3 s, and the uptimes in gossip differ by some hundred milliseconds.
     std::vector<PeerUpdate> one;
     std::vector<PeerUpdate> other;
     for (int i = 1; i <= 8; ++i) {
@@ -102,28 +102,28 @@
     CHECK(orderOf(one) == orderOf(other));
 }
 
-TEST_CASE("PlacingHosts.OnlyServingHostsPlace")
+TEST_CASE("CoordinatorRanking.OnlyServingHostsAreRanked")
 {
     CHECK(orderOf({host("10.0.0.1", seconds(9), PeerState::Leaving), host("10.0.0.2", seconds(1)),
                    host("10.0.0.3", seconds(9), PeerState::NotReady)})
           == std::vector<std::string>{"10.0.0.2"});
 }
 
-TEST_CASE("PlacingHosts.SmallHostsPlaceOnlyIfThereIsNoOther")
+TEST_CASE("CoordinatorRanking.SmallHostIsRankedAfterNewerLargeHost")
 {
-    // Placing for the whole fleet takes about all the processor of the smallest hosts; requests
-    // would wait there longer than their targets.
+    // Placing for the whole fleet takes nearly all the CPU of the smallest hosts; requests would
+    // wait there longer than their targets.
     std::vector<PeerUpdate> hosts{host("10.0.0.1", seconds(60)), host("10.0.0.2", seconds(5))};
     hosts[0].millicores = 120;
     hosts[1].millicores = 500;
     CHECK(orderOf(hosts)[0] == "10.0.0.2");
 }
 
-TEST_CASE("PlacingHosts.EachLargeHostComesBeforeEverySmallOne")
+TEST_CASE("CoordinatorRanking.LargeHostsAreRankedBeforeSmallOnes")
 {
-    // Hosts of two sizes start together. A small host that placed for all answered late, most
-    // hosts then placed alone, and shared parts were read again all over the pool. The order
-    // within a size is by hash, so many addresses are tried: one pair alone may pass by chance.
+    // Guards against a small host as coordinator: it answers late, most hosts then place locally,
+    // and shared parts are prefilled again all over the pool. The order within a size is by hash,
+    // so many addresses are tried: a single pair may pass by chance.
     std::vector<PeerUpdate> hosts;
     for (int i = 1; i <= 81; ++i) {
         hosts.push_back(host("10.0.0." + std::to_string(i), seconds(60)));
@@ -138,14 +138,14 @@
     }
 }
 
-TEST_CASE("PlacingHosts.OrderIsThatOfChoosingTheBestHostAgainAndAgain")
+TEST_CASE("CoordinatorRanking.MatchesReferenceImplementation")
 {
     for (const int size : {1, 8, 60, 80, 300})
         CHECK(orderOf(mixedFleet(size)) == orderByRepeatedChoice(mixedFleet(size)));
 }
 
-// Guards against gossip rounds that cost the square of the number of hosts.
-TEST_CASE("PlacingHosts.ComparisonsPerHostGrowWithTheLogarithmOfTheFleet")
+// Guards against a cost per gossip round that is quadratic in the number of hosts.
+TEST_CASE("CoordinatorRanking.ComparisonsPerHostGrowLogarithmically")
 {
     for (const int size : {60, 300, 1000, 2000}) {
         units::WorkCount work;
--- a/tests/routing/prefillqueue_test.cpp
+++ b/tests/routing/prefillqueue_test.cpp
@@ -10,31 +10,31 @@
 namespace {
 
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
-constexpr std::size_t Many = 100;
+constexpr std::size_t NoLimit = 100;
 
 PlacementQuery query(std::uint32_t tier, units::Duration targetIn, const std::string &part = "p")
 {
     PlacementQuery result;
     result.tier = units::Tier(tier);
     result.sharedPart = part;
-    result.promptTokens = 15000; // 100 ms to read
+    result.promptTokens = 15000; // 100 ms to prefill
     result.targetIn = targetIn;
     result.expiresIn = seconds(8);
     return result;
 }
 
 std::vector<std::uint64_t> numbers(PrefillQueue &queue, units::TimePoint now,
-                                   std::size_t most = Many)
+                                   std::size_t maxCount = NoLimit)
 {
     std::vector<std::uint64_t> result;
-    for (const PlacementTicket &ticket : queue.next(most, now))
+    for (const PlacementTicket &ticket : queue.next(maxCount, now))
         result.push_back(ticket.number);
     return result;
 }
 
 } // namespace
 
-TEST_CASE("PrefillQueue.TierGoesBeforeDueTime")
+TEST_CASE("PrefillQueue.OrdersByTierThenDueTime")
 {
     PrefillQueue queue;
     queue.add({"h", 1}, query(2, milliseconds(300)), 1000, Start);
@@ -44,10 +44,10 @@
     CHECK(numbers(queue, Start, 1) == std::vector<std::uint64_t>{2});
 }
 
-TEST_CASE("PrefillQueue.RequestThatIsLateAnywayDoesNotMakeOthersLate")
+TEST_CASE("PrefillQueue.LateRequestsGoBehindOnTimeOnesOfTheirTier")
 {
-    // In a burst more arrives than can be read. Served in order of arrival, all would be late by
-    // the same time; this way the late ones go last within their tier, but are not forgotten.
+    // In a burst more arrives than can be prefilled. Served in order of arrival, all would be late
+    // by the same time. Late requests go last within their tier, but stay in the queue.
     PrefillQueue queue;
     queue.add({"h", 1}, query(2, milliseconds(300)), 1000, Start);
     queue.add({"h", 2}, query(2, milliseconds(900)), 1000, Start);
@@ -57,11 +57,10 @@
     CHECK(numbers(queue, later) == std::vector<std::uint64_t>{2, 1, 3});
 }
 
-TEST_CASE("PrefillQueue.LongPromptKeepsItsPlaceAmongShortOnes")
+TEST_CASE("PrefillQueue.PromptSizeDoesNotAffectOrder")
 {
-    // In an overload the prompts of one tier wait together. A prompt of 54,000 tokens takes 0.8 s
-    // to read; counted as late that much sooner, it would go behind all short ones until its client
-    // leaves.
+    // A prompt of 54,000 tokens takes 0.8 s to prefill. If it counted as late that much sooner, it
+    // would stay behind all short ones of its tier until its client leaves.
     PrefillQueue queue;
     PlacementQuery longPrompt = query(2, milliseconds(900));
     longPrompt.promptTokens = 54000;
@@ -70,27 +69,27 @@
     CHECK(numbers(queue, Start + milliseconds(600)) == std::vector<std::uint64_t>{1, 2});
 }
 
-TEST_CASE("PrefillQueue.GivenUpAndRemovedRequestsAreGone")
+TEST_CASE("PrefillQueue.RemovesExpiredAndWithdrawnRequests")
 {
-    // A request that starts in the last second before its client leaves would be read in vain. Its
-    // client is to be told, so it is returned and not dropped in silence.
+    // The prefill of a request that starts in the last second before its client leaves is wasted.
+    // Expired requests are returned, so that their clients get a response.
     PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1)), 1000, Start);
     queue.add({"h", 2}, query(1, seconds(1)), 1000, Start);
     queue.remove({"h", 1});
-    CHECK(queue.withPart("p").size() == 1);
-    CHECK(queue.takeGivenUp(9, Start + milliseconds(6900)).empty());
-    const auto givenUp = queue.takeGivenUp(9, Start + seconds(7));
-    REQUIRE(givenUp.size() == 1);
-    CHECK(givenUp[0].number == 2);
+    CHECK(queue.withSharedPart("p").size() == 1);
+    CHECK(queue.takeExpired(9, Start + milliseconds(6900)).empty());
+    const auto expired = queue.takeExpired(9, Start + seconds(7));
+    REQUIRE(expired.size() == 1);
+    CHECK(expired[0].number == 2);
     CHECK(numbers(queue, Start + seconds(7)).empty());
     CHECK(queue.isEmpty());
-    CHECK(queue.withPart("p").empty());
+    CHECK(queue.withSharedPart("p").empty());
     CHECK(queue.tokensAhead(units::Tier(9)).onTime == 0);
     CHECK(queue.tokensAhead(units::Tier(9)).late == 0);
 }
 
-TEST_CASE("PrefillQueue.CountsTheTokensAheadByTierAndLateness")
+TEST_CASE("PrefillQueue.CountsTokensAheadByTierAndLateness")
 {
     PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1), "a"), 5000, Start);
@@ -105,13 +104,13 @@
     CHECK(queue.tokensAhead(units::Tier(2)).onTime == 5000 + own);
 }
 
-TEST_CASE("PrefillQueue.FindsThoseThatWaitForTheSamePart")
+TEST_CASE("PrefillQueue.FindsRequestsWithSameSharedPart")
 {
     PrefillQueue queue;
     queue.add({"h", 1}, query(1, seconds(1), "a"), 1000, Start);
     queue.add({"h", 2}, query(1, seconds(1), "b"), 1000, Start);
     queue.add({"g", 2}, query(1, seconds(1), "a"), 1000, Start);
-    CHECK(queue.withPart("a").size() == 2);
+    CHECK(queue.withSharedPart("a").size() == 2);
     CHECK(queue.find({"g", 2}) != nullptr);
     CHECK(queue.find({"g", 1}) == nullptr);
 }
--- a/tests/routing/prefillrate_test.cpp
+++ b/tests/routing/prefillrate_test.cpp
@@ -11,14 +11,14 @@
 
 constexpr units::TimePoint Start = units::TimePoint(std::chrono::hours(1));
 
-// Reads of different sizes on engines that read so many tokens a millisecond, 40 ms beside.
-void read(PrefillRate &speed, double tokensPerMs, int reads, units::TimePoint &now)
+// Adds samples of different sizes, with a fixed time of 40 ms.
+void addSamples(PrefillRate &rate, double tokensPerMs, int samples, units::TimePoint &now)
 {
-    for (int i = 0; i < reads; ++i) {
+    for (int i = 0; i < samples; ++i) {
         const std::int64_t tokens = 500 + 1700 * (i % 11);
         const std::chrono::duration<double, std::milli> took(40 + double(tokens) / tokensPerMs);
         now += std::chrono::milliseconds(50);
-        speed.onRead(tokens, std::chrono::duration_cast<units::Duration>(took), now);
+        rate.addSample(tokens, std::chrono::duration_cast<units::Duration>(took), now);
     }
 }
 
@@ -29,69 +29,69 @@
 
 } // namespace
 
-TEST_CASE("PrefillRate.StartValueHoldsUntilEnoughIsKnown")
+TEST_CASE("PrefillRate.UsesInitialValueUntilEnoughSamples")
 {
-    PrefillRate speed;
+    PrefillRate rate;
     units::TimePoint now = Start;
-    read(speed, 66, 3, now);
-    CHECK(speed.tokensPerMs(now) == PrefillRate::StartTokensPerMs);
-    CHECK(speed.tokensIn(std::chrono::milliseconds(100), now) == 10000);
+    addSamples(rate, 66, 3, now);
+    CHECK(rate.tokensPerMs(now) == PrefillRate::InitialTokensPerMs);
+    CHECK(rate.tokensIn(std::chrono::milliseconds(100), now) == 10000);
 }
 
-TEST_CASE("PrefillRate.LearnsSlowAndFastEnginesBesideTheFixedTime")
+TEST_CASE("PrefillRate.EstimatesSlowAndFastEnginesWithFixedTime")
 {
     for (const double tokensPerMs : {16.0, 66.0, 157.0, 640.0}) {
-        PrefillRate speed;
+        PrefillRate rate;
         units::TimePoint now = Start;
-        read(speed, tokensPerMs, 60, now);
-        CHECK_MESSAGE(isNear(speed.tokensPerMs(now), tokensPerMs), "expected about ", tokensPerMs,
-                      ", got ", speed.tokensPerMs(now));
+        addSamples(rate, tokensPerMs, 60, now);
+        CHECK_MESSAGE(isNear(rate.tokensPerMs(now), tokensPerMs), "expected about ", tokensPerMs,
+                      ", got ", rate.tokensPerMs(now));
     }
 }
 
-TEST_CASE("PrefillRate.FollowsAChangeOfSpeed")
+TEST_CASE("PrefillRate.FollowsChangeOfRate")
 {
-    // New weights or other machines: the engines read at a quarter of the speed from now on. With
-    // the old speed, endpoints would take four times as much as they can read in time.
-    PrefillRate speed;
+    // A new model or other machines: the prefill rate drops to a quarter. With the old estimate,
+    // endpoints would get four times as much as they can prefill in time.
+    PrefillRate rate;
     units::TimePoint now = Start;
-    read(speed, 160, 100, now);
-    read(speed, 40, 400, now);
-    CHECK_MESSAGE(isNear(speed.tokensPerMs(now), 40), "got ", speed.tokensPerMs(now));
+    addSamples(rate, 160, 100, now);
+    addSamples(rate, 40, 400, now);
+    CHECK_MESSAGE(isNear(rate.tokensPerMs(now), 40), "got ", rate.tokensPerMs(now));
 }
 
-TEST_CASE("PrefillRate.PoolOfMixedSpeedsGetsASpeedBetweenThem")
+TEST_CASE("PrefillRate.MixedPoolGetsIntermediateRate")
 {
-    PrefillRate speed;
+    PrefillRate rate;
     units::TimePoint now = Start;
     for (int i = 0; i < 20; ++i) {
-        read(speed, 160, 11, now);
-        read(speed, 40, 11, now);
+        addSamples(rate, 160, 11, now);
+        addSamples(rate, 40, 11, now);
     }
-    CHECK(speed.tokensPerMs(now) > 40);
-    CHECK(speed.tokensPerMs(now) < 160);
+    CHECK(rate.tokensPerMs(now) > 40);
+    CHECK(rate.tokensPerMs(now) < 160);
 }
 
-TEST_CASE("PrefillRate.EndpointThatHangsMisleadsOnlySoFar")
+TEST_CASE("PrefillRate.InfluenceOfHangingEndpointIsBounded")
 {
-    // One of ten endpoints answers after 3 s whatever it reads. Its reads count as at most three
-    // times as long as expected, so the pool does not look ten times as slow.
-    PrefillRate speed;
+    // One of ten endpoints responds after 3 s regardless of the size. Its samples count as at most
+    // three times the expected duration, so the pool does not appear ten times as slow.
+    PrefillRate rate;
     units::TimePoint now = Start;
-    read(speed, 66, 60, now);
+    addSamples(rate, 66, 60, now);
     for (int i = 0; i < 20; ++i) {
-        read(speed, 66, 9, now);
-        speed.onRead(5000, std::chrono::seconds(3), now);
+        addSamples(rate, 66, 9, now);
+        rate.addSample(5000, std::chrono::seconds(3), now);
     }
-    CHECK_MESSAGE(speed.tokensPerMs(now) > 33, "got ", speed.tokensPerMs(now));
-    CHECK_MESSAGE(speed.tokensPerMs(now) < 132, "got ", speed.tokensPerMs(now));
+    CHECK_MESSAGE(rate.tokensPerMs(now) > 33, "got ", rate.tokensPerMs(now));
+    CHECK_MESSAGE(rate.tokensPerMs(now) < 132, "got ", rate.tokensPerMs(now));
 }
 
-TEST_CASE("PrefillRate.ForgetsEnginesThatReadNothingForLong")
+TEST_CASE("PrefillRate.EstimateExpiresWithoutSamples")
 {
-    PrefillRate speed;
+    PrefillRate rate;
     units::TimePoint now = Start;
-    read(speed, 640, 60, now);
+    addSamples(rate, 640, 60, now);
     now += std::chrono::minutes(2);
-    CHECK(speed.tokensPerMs(now) == PrefillRate::StartTokensPerMs);
+    CHECK(rate.tokensPerMs(now) == PrefillRate::InitialTokensPerMs);
 }
--- a/tests/routing/routetable_test.cpp
+++ b/tests/routing/routetable_test.cpp
@@ -34,7 +34,7 @@
     return route == nullptr ? "none" : route->name.value();
 }
 
-RequestMetadata facts(const std::string &key)
+RequestMetadata metadata(const std::string &key)
 {
     RequestMetadata result;
     result.host = "h";
@@ -56,7 +56,7 @@
     CHECK(table.find("other", "/a/b/c") == nullptr);
 }
 
-TEST_CASE("RouteTable.PoolsGetTrafficByTheirWeights")
+TEST_CASE("RouteTable.PoolsAreChosenByWeight")
 {
     const Route route = routeFor("r", "/a/");
     CHECK(choosePool(route, 0.0).value() == "a");
@@ -65,67 +65,67 @@
     CHECK(choosePool(route, 0.999).value() == "b");
 }
 
-TEST_CASE("Admission.KeyGivesWorkspace")
+TEST_CASE("Admission.KeyDeterminesWorkspace")
 {
     const RouteTable table(twoRoutes());
-    const Admission own = admit(&table, true, facts("k1"), "/a/x");
+    const Admission own = admit(&table, true, metadata("k1"), "/a/x");
     CHECK(own.code == units::ResultCode::Ok);
     CHECK(own.workspace.value() == "w1");
 }
 
-TEST_CASE("Admission.ClassDecidesTheTierAndTheWorkspaceWithinIt")
+TEST_CASE("Admission.RouteTierPrecedesWorkspaceTier")
 {
-    // Every workspace has a tier of its own. If it replaced the route's, engines could not tell a
-    // summary from a breakdown of the same workspace: in a burst of breakdowns they preempted
-    // summaries and let breakdowns run on.
+    // If a workspace's tier replaced the route's, engines could not distinguish a summary from a
+    // breakdown of the same workspace: in a burst of breakdowns they preempted summaries and let
+    // breakdowns run on.
     TrafficConfiguration configuration = twoRoutes();
     configuration.routes[0].tier = units::Tier(0);
     configuration.routes[1].tier = units::Tier(2);
     configuration.workspaces[1].tier = units::Tier(1);
     const RouteTable table(configuration);
     const auto tier = [&](const char *key, const char *path) {
-        return admit(&table, true, facts(key), path).tier;
+        return admit(&table, true, metadata(key), path).tier;
     };
     CHECK(tier("k1", "/a/x") < tier("k2", "/a/x"));
     CHECK(tier("k2", "/a/x") < tier("k1", "/a/b/x"));
     CHECK(tier("k1", "/a/b/x") < tier("k2", "/a/b/x"));
 }
 
-TEST_CASE("Admission.WithMoreThanTenTiersTheClassStillDecides")
+TEST_CASE("Admission.RouteTierPrecedesWorkspaceTierBeyondTenTiers")
 {
     TrafficConfiguration configuration = twoRoutes();
     configuration.routes[0].tier = units::Tier(3);
     configuration.routes[1].tier = units::Tier(4);
     configuration.workspaces[1].tier = units::Tier(7);
     const RouteTable table(configuration);
-    CHECK(admit(&table, true, facts("k2"), "/a/x").tier
-          < admit(&table, true, facts("k1"), "/a/b/x").tier);
-    CHECK(admit(&table, true, facts("k2"), "/a/b/x").tier <= units::Tier(9));
+    CHECK(admit(&table, true, metadata("k2"), "/a/x").tier
+          < admit(&table, true, metadata("k1"), "/a/b/x").tier);
+    CHECK(admit(&table, true, metadata("k2"), "/a/b/x").tier <= units::Tier(9));
 }
 
-TEST_CASE("Admission.WithoutTiersOfWorkspacesTheRouteDecides")
+TEST_CASE("Admission.UsesRouteTierWithoutWorkspaceTiers")
 {
     TrafficConfiguration configuration = twoRoutes();
     configuration.workspaces[0].tier = std::nullopt;
     const RouteTable table(configuration);
-    CHECK(admit(&table, true, facts("k1"), "/a/x").tier == units::Tier(2));
-    CHECK(admit(&table, true, facts("k2"), "/a/x").tier == units::Tier(2));
+    CHECK(admit(&table, true, metadata("k1"), "/a/x").tier == units::Tier(2));
+    CHECK(admit(&table, true, metadata("k2"), "/a/x").tier == units::Tier(2));
 }
 
-TEST_CASE("Admission.UnknownIsOnlySaidByAHostWithFreshConfiguration")
+TEST_CASE("Admission.UnknownIsReportedOnlyWithFreshConfiguration")
 {
-    // A host without news cannot know whether a route or key was added since; a caller told 404 or
-    // 401 would not come back.
+    // A host with outdated configuration can't know whether a route or key has been added; a caller
+    // would not retry after a 404 or 401.
     const RouteTable table(twoRoutes());
-    CHECK(admit(&table, true, facts("k9"), "/a/x").code == units::ResultCode::UnknownKey);
-    CHECK(admit(&table, true, facts("k1"), "/z/x").code == units::ResultCode::NoRouteForRequest);
+    CHECK(admit(&table, true, metadata("k9"), "/a/x").code == units::ResultCode::UnknownKey);
+    CHECK(admit(&table, true, metadata("k1"), "/z/x").code == units::ResultCode::NoRouteForRequest);
     for (const char *target : {"/a/x", "/z/x"})
-        CHECK(admit(&table, false, facts("k9"), target).code
+        CHECK(admit(&table, false, metadata("k9"), target).code
               == units::ResultCode::ConfigurationTooOld);
-    CHECK(admit(nullptr, true, facts("k1"), "/a/x").code == units::ResultCode::NoConfiguration);
+    CHECK(admit(nullptr, true, metadata("k1"), "/a/x").code == units::ResultCode::NoConfiguration);
 }
 
-TEST_CASE("RouteTable.TellsPoolsWithStreamsOfShortPauses")
+TEST_CASE("RouteTable.MarksPoolsWithShortGapStreams")
 {
     TrafficConfiguration configuration = twoRoutes();
     configuration.routes[1].kind = RouteKind::Stream;
--- a/tests/routing/shortpausereserve_test.cpp
+++ b/tests/routing/shortpausereserve_test.cpp
@@ -28,17 +28,17 @@
 void open(ShortPauseReserve &reserve, int streams)
 {
     for (int i = 0; i < streams; ++i)
-        reserve.opened(Pool);
+        reserve.onStreamOpened(Pool);
 }
 
 } // namespace
 
-TEST_CASE("ShortPauseReserve.PausesNearAStepWithReadingAreShort")
+TEST_CASE("ShortPauseReserve.GapsNearStepTimeWithChunkAreShort")
 {
-    const auto isShort = [](int pause, int tokens) {
+    const auto isShort = [](int gap, int tokens) {
         Route route;
         route.kind = RouteKind::Stream;
-        route.maxEventGap = milliseconds(pause);
+        route.maxEventGap = milliseconds(gap);
         return needsShortPauses(route, tokens);
     };
     CHECK(isShort(200, 5));
@@ -47,20 +47,20 @@
     CHECK_FALSE(isShort(800, 6));
 }
 
-TEST_CASE("ShortPauseReserve.KeepsTheSameEndpointsAfterARestart")
+TEST_CASE("ShortPauseReserve.ReservesSameEndpointsAfterRestart")
 {
-    // All hosts lose power and come back with nothing in memory. Prompt parts are where the placing
-    // host before put them, outside of the kept endpoints. With none kept at first, the new one
-    // would look for some parts on an endpoint that never had them, and have them read again.
+    // All hosts restart without state. Prompt parts are cached where the previous coordinator
+    // placed them, outside of the reserve. Without a reserve at first, the new coordinator would
+    // look for some parts on an endpoint that never had them, and they would be prefilled again.
     const auto all = endpoints(9);
     ShortPauseReserve before;
     open(before, 20);
-    const auto kept = before.endpoints(Pool, all, Start, 1);
+    const auto reserved = before.endpoints(Pool, all, Start, 1);
     ShortPauseReserve after;
-    CHECK(after.endpoints(Pool, all, Start, 1) == kept);
+    CHECK(after.endpoints(Pool, all, Start, 1) == reserved);
 }
 
-TEST_CASE("ShortPauseReserve.SizeFollowsTheOpenStreams")
+TEST_CASE("ShortPauseReserve.SizeFollowsOpenStreams")
 {
     ShortPauseReserve reserve;
     const auto all = endpoints(60);
@@ -71,21 +71,21 @@
     CHECK(reserve.endpoints(Pool, all, Start, 0).size() == 6);
 }
 
-TEST_CASE("ShortPauseReserve.ShrinksOnlyAfterTheLoadStayedLow")
+TEST_CASE("ShortPauseReserve.ShrinksOnlyAfterDelay")
 {
-    // Traffic comes in waves. If the reserve followed each, endpoints would change sides every
-    // second and the prompt parts on them would be read again elsewhere.
+    // If the reserve followed each fluctuation of the load, endpoints would join and leave it every
+    // second, and the prompt parts cached on them would be prefilled again elsewhere.
     ShortPauseReserve reserve;
     const auto all = endpoints(60);
     open(reserve, 200);
     const auto before = reserve.endpoints(Pool, all, Start, 0);
     for (int i = 0; i < 199; ++i)
-        reserve.ended(Pool);
+        reserve.onStreamEnded(Pool);
     CHECK(reserve.endpoints(Pool, all, Start + seconds(4), 0) == before);
     CHECK(reserve.endpoints(Pool, all, Start + seconds(6), 0).size() == 1);
 }
 
-TEST_CASE("ShortPauseReserve.GrowingKeepsTheEndpointsThatItHas")
+TEST_CASE("ShortPauseReserve.GrowingKeepsReservedEndpoints")
 {
     ShortPauseReserve reserve;
     const auto all = endpoints(60);
@@ -97,15 +97,15 @@
         CHECK(after.count(endpoint) == 1);
 }
 
-TEST_CASE("ShortPauseReserve.TakesAtMostHalfAndNoneThatIsLeaving")
+TEST_CASE("ShortPauseReserve.ReservesAtMostHalfAndNoLeavingEndpoint")
 {
     ShortPauseReserve reserve;
     const auto all = endpoints(9);
     open(reserve, 10000);
     CHECK(reserve.endpoints(Pool, all, Start, 0).size() == 4);
-    const auto kept = reserve.endpoints(Pool, all, Start, 0);
+    const auto reserved = reserve.endpoints(Pool, all, Start, 0);
     for (const auto &endpoint : all)
-        endpoint->leaving = kept.count(endpoint.get()) != 0;
+        endpoint->leaving = reserved.count(endpoint.get()) != 0;
     const auto &after = reserve.endpoints(Pool, all, Start + seconds(1), 0);
     CHECK(after.size() == 2);
     for (const EndpointStatus *endpoint : after)
--- a/tests/routing/simulatedpool.cpp
+++ b/tests/routing/simulatedpool.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 const units::PoolName Pool("model");
-// A log-normal value beyond this many sigmas of the underlying normal belongs to the upper tenth.
+// The 90th percentile of a normal distribution, in standard deviations.
 constexpr double UpperTenthSigmas = 1.2816;
 
 units::Duration milliseconds(double count)
@@ -17,10 +17,10 @@
         std::chrono::duration<double, std::milli>(count));
 }
 
-// The mean of the logarithm of a class's own tokens.
+// Mean of the logarithm of a class's own tokens.
 double logMeanOf(const SimulatedClass &kind)
 {
-    return std::log(double(kind.ownTokens)) - kind.sizeSpread * kind.sizeSpread / 2;
+    return std::log(double(kind.ownTokens)) - kind.sizeSigma * kind.sizeSigma / 2;
 }
 
 PlacementTicket ticketOf(std::uint64_t number)
@@ -49,17 +49,18 @@
 std::map<std::string, SimulatedOutcome> SimulatedPool::play()
 {
     constexpr auto Tick = std::chrono::milliseconds(1);
-    constexpr int TicksBetweenLooks = 4;
+    constexpr int TicksPerPlacement = 4;
     for (int tick = 0; now_ < end_ || !open_.empty(); ++tick, now_ += Tick) {
         if (now_ < end_)
             arrive();
-        leave();
-        if (tick % TicksBetweenLooks == 0) {
-            for (const auto &[ticket, choice] : desk_.placeWaiting(registry_, now_))
+        removeExpired();
+        if (tick % TicksPerPlacement == 0) {
+            for (const auto &[ticket, choice] : placer_.placeWaiting(registry_, now_))
                 submit(ticket.number, choice);
         }
         for (auto &[id, engine] : engines_) {
-            while (engine.nextStep <= now_ && (!engine.reading.empty() || !engine.running.empty()))
+            while (engine.nextStep <= now_
+                   && (!engine.prefilling.empty() || !engine.running.empty()))
                 step(engine);
         }
     }
@@ -81,26 +82,26 @@
             ++outcomes_[kind.name].asked;
             if (isAmongLargest(request))
                 ++outcomes_[kind.name].largest;
-            submit(
-                number,
-                desk_.place(ticketOf(number), queryFor(request), registry_.available(Pool), now_));
+            submit(number,
+                   placer_.place(ticketOf(number), queryFor(request), registry_.available(Pool),
+                                 now_));
         }
     }
 }
 
 std::int64_t SimulatedPool::drawOwnTokens(const SimulatedClass &kind)
 {
-    if (kind.sizeSpread == 0)
+    if (kind.sizeSigma == 0)
         return kind.ownTokens;
-    std::lognormal_distribution<double> sizes(logMeanOf(kind), kind.sizeSpread);
+    std::lognormal_distribution<double> sizes(logMeanOf(kind), kind.sizeSigma);
     return std::clamp(std::int64_t(sizes(random_)), std::int64_t(1), kind.maxOwnTokens);
 }
 
 bool SimulatedPool::isAmongLargest(const Request &request)
 {
     const SimulatedClass &kind = *request.kind;
-    return kind.sizeSpread > 0
-        && std::log(double(request.own)) > logMeanOf(kind) + UpperTenthSigmas * kind.sizeSpread;
+    return kind.sizeSigma > 0
+        && std::log(double(request.own)) > logMeanOf(kind) + UpperTenthSigmas * kind.sizeSigma;
 }
 
 PlacementQuery SimulatedPool::queryFor(const Request &request) const
@@ -115,12 +116,12 @@
     query.tier = units::Tier(kind.tier);
     Route route;
     route.kind = RouteKind::Stream;
-    route.maxEventGap = kind.maxPause;
+    route.maxEventGap = kind.maxEventGap;
     query.needsShortPauses
         = options_.keepsEndpoints && needsShortPauses(route, options_.engine.tokensPerEvent);
     query.poolServesShortPauses = options_.keepsEndpoints;
     query.targetIn = kind.target;
-    query.expiresIn = kind.patience;
+    query.expiresIn = kind.maxWait;
     query.mayWait = options_.mayWait;
     return query;
 }
@@ -132,10 +133,10 @@
         return;
     Request &request = found->second;
     if (choice.isWaiting) {
-        waiting_.insert(number);
+        queued_.insert(number);
         return;
     }
-    waiting_.erase(number);
+    queued_.erase(number);
     if (choice.endpoint == nullptr) {
         ++outcomes_[request.kind->name].refused;
         open_.erase(found);
@@ -149,27 +150,28 @@
     engine.cached.push_back(request.part);
     if (engine.cached.size() > options_.engine.cachedParts)
         engine.cached.erase(engine.cached.begin());
-    request.left = request.own + (isCached ? 0 : request.kind->sharedTokens);
+    request.tokensLeft = request.own + (isCached ? 0 : request.kind->sharedTokens);
     request.context = isCached ? request.kind->sharedTokens : 0;
     const auto isLessUrgent = [&](std::uint64_t other) {
         return open_.at(other).kind->tier > request.kind->tier;
     };
-    const auto place = std::find_if(engine.reading.begin(), engine.reading.end(), isLessUrgent);
-    engine.reading.insert(place, number);
+    const auto place
+        = std::find_if(engine.prefilling.begin(), engine.prefilling.end(), isLessUrgent);
+    engine.prefilling.insert(place, number);
     engine.nextStep = std::max(engine.nextStep, now_);
 }
 
-// Callers that have waited in vain at the placing host.
-void SimulatedPool::leave()
+// Removes queued requests whose callers have given up.
+void SimulatedPool::removeExpired()
 {
-    for (auto each = waiting_.begin(); each != waiting_.end();) {
+    for (auto each = queued_.begin(); each != queued_.end();) {
         const std::uint64_t number = *each++;
         const Request &request = open_.at(number);
-        if (now_ < request.arrivedAt + request.kind->patience)
+        if (now_ < request.arrivedAt + request.kind->maxWait)
             continue;
         ++outcomes_[request.kind->name].left;
-        desk_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
-        waiting_.erase(number);
+        placer_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
+        queued_.erase(number);
         open_.erase(number);
     }
 }
@@ -179,10 +181,10 @@
     const double streams = double(engine.running.size());
     double took
         = streams > 0 ? options_.engine.stepMs + options_.engine.stepMsPerStream * streams : 0;
-    if (int(engine.running.size()) < options_.slots && !engine.reading.empty()) {
-        const std::int64_t context = open_.at(engine.reading.front()).context;
-        const std::int64_t tokens = readChunk(engine);
-        took += double(tokens) / options_.engine.tokensReadPerMs
+    if (int(engine.running.size()) < options_.slots && !engine.prefilling.empty()) {
+        const std::int64_t context = open_.at(engine.prefilling.front()).context;
+        const std::int64_t tokens = prefillChunk(engine);
+        took += double(tokens) / options_.engine.prefillTokensPerMs
             + double(tokens) * double(context) / 1e6 * options_.engine.attentionMsPerMillionPairs;
     }
     engine.nextStep += milliseconds(took);
@@ -191,19 +193,19 @@
         emit(engine, number);
 }
 
-std::int64_t SimulatedPool::readChunk(Engine &engine)
+std::int64_t SimulatedPool::prefillChunk(Engine &engine)
 {
     std::int64_t room = options_.engine.chunkTokens;
-    while (room > 0 && !engine.reading.empty() && int(engine.running.size()) < options_.slots) {
-        const std::uint64_t number = engine.reading.front();
+    while (room > 0 && !engine.prefilling.empty() && int(engine.running.size()) < options_.slots) {
+        const std::uint64_t number = engine.prefilling.front();
         Request &request = open_.at(number);
-        const std::int64_t tokens = std::min(room, request.left);
-        request.left -= tokens;
+        const std::int64_t tokens = std::min(room, request.tokensLeft);
+        request.tokensLeft -= tokens;
         request.context += tokens;
         room -= tokens;
-        if (request.left > 0)
+        if (request.tokensLeft > 0)
             break;
-        engine.reading.pop_front();
+        engine.prefilling.pop_front();
         engine.running.push_back(number);
     }
     return options_.engine.chunkTokens - room;
@@ -212,17 +214,17 @@
 void SimulatedPool::emit(Engine &engine, std::uint64_t number)
 {
     Request &request = open_.at(number);
-    ++request.made;
+    ++request.tokensMade;
     const bool isCut = engine.nextStep > request.arrivedAt + request.kind->deadline;
-    const bool isEnd = isCut || request.made >= request.kind->outputTokens;
-    if (request.made % options_.engine.tokensPerEvent != 0 && !isEnd)
+    const bool isEnd = isCut || request.tokensMade >= request.kind->outputTokens;
+    if (request.tokensMade % options_.engine.tokensPerEvent != 0 && !isEnd)
         return;
     if (request.lastEventAt == units::TimePoint{}) {
         request.isFirstLate = engine.nextStep - request.arrivedAt > request.kind->target;
-        desk_.onEvent(ticketOf(number), PlacementEvent::FirstEvent, now_);
+        placer_.onEvent(ticketOf(number), PlacementEvent::FirstEvent, now_);
     } else {
-        request.hadPause
-            = request.hadPause || engine.nextStep - request.lastEventAt > request.kind->maxPause;
+        request.hadLongGap = request.hadLongGap
+            || engine.nextStep - request.lastEventAt > request.kind->maxEventGap;
     }
     request.lastEventAt = engine.nextStep;
     if (!isEnd)
@@ -230,7 +232,7 @@
     engine.running.erase(std::find(engine.running.begin(), engine.running.end(), number));
     if (isCut) {
         ++outcomes_[request.kind->name].cut;
-        desk_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
+        placer_.onEvent(ticketOf(number), PlacementEvent::Withdrawn, now_);
         open_.erase(number);
         return;
     }
@@ -243,13 +245,13 @@
     SimulatedOutcome &outcome = outcomes_[request.kind->name];
     if (request.isFirstLate)
         ++outcome.firstLate;
-    else if (request.hadPause)
+    else if (request.hadLongGap)
         ++outcome.paused;
     else
         ++outcome.onTime;
     if (isAmongLargest(request))
         ++outcome.largestServed;
-    desk_.onEvent(ticketOf(number), PlacementEvent::Completed, now_);
+    placer_.onEvent(ticketOf(number), PlacementEvent::Completed, now_);
     open_.erase(number);
 }
 
@@ -267,12 +269,12 @@
     return {breakdown, tagging, summary};
 }
 
-std::vector<SimulatedClass> overloadOfMixedSizes(double tokensReadPerMs)
+std::vector<SimulatedClass> overloadOfMixedSizes(double prefillTokensPerMs)
 {
     using std::chrono::milliseconds;
     SimulatedClass plan{"plan",
                         4,
-                        85 * tokensReadPerMs / 66,
+                        85 * prefillTokensPerMs / 66,
                         150,
                         5382,
                         6610,
@@ -280,7 +282,7 @@
                         milliseconds(2000),
                         milliseconds(800),
                         milliseconds(8000)};
-    plan.sizeSpread = 1.4;
+    plan.sizeSigma = 1.4;
     plan.maxOwnTokens = 54600;
     plan.deadline = milliseconds(15000);
     return {plan};
--- a/tests/routing/simulatedpool.h
+++ b/tests/routing/simulatedpool.h
@@ -12,57 +12,57 @@
 
 namespace monsoongrade::routing {
 
-// One kind of stream, as callers send it.
+// A request class of the simulated load.
 struct SimulatedClass
 {
     std::string name;
     std::uint32_t tier = 0;
     double perSecond = 0;
-    int parts = 1; // how many shared parts there are
+    int parts = 1; // number of distinct shared parts
     std::int64_t sharedTokens = 0;
     std::int64_t ownTokens = 0;
     int outputTokens = 0;
     std::chrono::milliseconds target{};
-    std::chrono::milliseconds maxPause{};
-    std::chrono::milliseconds patience{}; // until a caller without an event leaves
-    // Own tokens are drawn log-normally with this sigma around the mean, up to maxOwnTokens; 0: all
-    // alike.
-    double sizeSpread = 0;
+    std::chrono::milliseconds maxEventGap{};
+    std::chrono::milliseconds maxWait{}; // until a caller without an event leaves
+    // Sigma of the log-normal distribution of own tokens, which are limited to maxOwnTokens; 0: all
+    // requests have the same size.
+    double sizeSigma = 0;
     std::int64_t maxOwnTokens = 0;
     std::chrono::milliseconds deadline = std::chrono::seconds(60); // until a stream is cut
 };
 
-// How one kind of engine works.
+// Performance parameters of the simulated engines.
 struct SimulatedEngine
 {
-    double tokensReadPerMs = 157;
+    double prefillTokensPerMs = 157;
     double stepMs = 3.55;
     double stepMsPerStream = 0.0462;
     double attentionMsPerMillionPairs = 0.109;
     std::int64_t chunkTokens = 4096;
     int tokensPerEvent = 6;
-    std::size_t cachedParts = 45; // shared parts beside the running streams
+    std::size_t cachedParts = 45; // shared parts cached in addition to the running streams
 };
 
-// What the callers of one class got.
+// Results of one request class.
 struct SimulatedOutcome
 {
     int asked = 0;
     int onTime = 0;
-    int firstLate = 0; // whole, with a first event after its target
-    int paused = 0; // whole and with its first event in time, but with a pause that is too long
+    int firstLate = 0; // completed, with a first event after its target
+    int paused = 0; // completed with its first event in time, but with too long an event gap
     int refused = 0;
     int left = 0; // the caller left without an event
-    int cut = 0; // the deadline passed while the stream ran
-    int largest = 0; // of those asked, the tenth with the largest own prompts
+    int cut = 0; // the deadline passed during the stream
+    int largest = 0; // the tenth of all requests with the largest own prompts
     int largestServed = 0;
 
     int served() const { return onTime + firstLate + paused; }
 };
 
-// A pool of model engines in simulated time, with RequestPlacer in front of it and no network.
-// Engines read prompts in chunks between steps that make one token for each running stream; they
-// keep the parts used last within their memory.
+// Simulates a pool of model engines with a request placer and no network. Engines prefill prompts
+// in chunks between steps that make one token for each running stream, and have an LRU cache of
+// prompt parts.
 class SimulatedPool
 {
 public:
@@ -72,13 +72,13 @@
         int slots = 64;
         SimulatedEngine engine;
         std::chrono::milliseconds length = std::chrono::seconds(9);
-        bool mayWait = true; // off: each request is sent to an endpoint at once
-        bool keepsEndpoints = true; // off: streams with short pauses have no endpoints of their own
+        bool mayWait = true; // false: each request is sent to an endpoint at once
+        bool keepsEndpoints = true; // false: no endpoints are reserved for short event gaps
     };
 
     SimulatedPool(const Options &options, std::vector<SimulatedClass> classes);
 
-    // Plays the load, and then until nothing is left to do.
+    // Runs the simulation until the load has ended and all requests are done.
     std::map<std::string, SimulatedOutcome> play();
 
 private:
@@ -88,19 +88,19 @@
         std::string part;
         units::TimePoint arrivedAt;
         std::int64_t own = 0; // tokens of its own
-        std::int64_t left = 0; // tokens to read
-        std::int64_t context = 0; // tokens read
-        int made = 0; // output tokens
+        std::int64_t tokensLeft = 0; // tokens still to prefill
+        std::int64_t context = 0; // tokens prefilled
+        int tokensMade = 0; // output tokens
         units::TimePoint lastEventAt{};
         bool isFirstLate = false;
-        bool hadPause = false;
+        bool hadLongGap = false;
     };
     struct Engine
     {
         EndpointRegistry::Status status;
-        std::deque<std::uint64_t> reading;
+        std::deque<std::uint64_t> prefilling;
         std::vector<std::uint64_t> running;
-        std::vector<std::string> cached; // the part used last at the end
+        std::vector<std::string> cached; // least recently used first
         units::TimePoint nextStep{};
     };
 
@@ -109,19 +109,19 @@
     static bool isAmongLargest(const Request &request);
     PlacementQuery queryFor(const Request &request) const;
     void submit(std::uint64_t number, const PlacementChoice &choice);
-    void leave();
+    void removeExpired();
     void step(Engine &engine);
-    std::int64_t readChunk(Engine &engine);
+    std::int64_t prefillChunk(Engine &engine);
     void emit(Engine &engine, std::uint64_t number);
     void finish(std::uint64_t number);
 
     Options options_;
     std::vector<SimulatedClass> classes_;
     EndpointRegistry registry_;
-    RequestPlacer desk_;
+    RequestPlacer placer_;
     std::map<std::string, Engine> engines_; // by endpoint id
     std::map<std::uint64_t, Request> open_;
-    std::set<std::uint64_t> waiting_;
+    std::set<std::uint64_t> queued_;
     std::map<std::string, SimulatedOutcome> outcomes_;
     std::mt19937 random_{1}; // NOLINT(cert-msc32-c,cert-msc51-cpp): the same load in each run
     units::TimePoint now_ = units::TimePoint(std::chrono::hours(1));
@@ -129,13 +129,13 @@
     std::uint64_t last_ = 0;
 };
 
-// Three times the usual breakdowns, all parts cold, beside the usual tagging and summaries; for 60
-// endpoints, or the given share of it.
+// Three times the usual load of breakdowns, all uncached, and the usual load of tagging and
+// summaries; for 60 endpoints, scaled by share.
 std::vector<SimulatedClass> burstOfLongPrompts(double share);
 
-// More prompts of very different sizes than ten engines of 66 tokens a millisecond can read; an
-// engine of another speed gets as many times more or fewer.
-std::vector<SimulatedClass> overloadOfMixedSizes(double tokensReadPerMs);
+// More prompts, of very different sizes, than ten engines that prefill 66 tokens per millisecond
+// can handle; the load is scaled with the rate of the engines.
+std::vector<SimulatedClass> overloadOfMixedSizes(double prefillTokensPerMs);
 
 } // namespace monsoongrade::routing
 
--- a/tests/routing/storefleet.h
+++ b/tests/routing/storefleet.h
@@ -8,8 +8,8 @@
 
 namespace monsoongrade::routing {
 
-// Hosts 10.0.0.0, 10.0.0.1 and so on in five failure domains, every fourth with more processor,
-// that have run for a minute and have the store.
+// Hosts 10.0.0.0, 10.0.0.1 and so on in five failure domains, every fourth with more CPU, that have
+// run for a minute and reach the store.
 inline std::vector<PeerUpdate> storeFleet(int hosts)
 {
     std::vector<PeerUpdate> result;
--- a/tests/routing/storeoutage_test.cpp
+++ b/tests/routing/storeoutage_test.cpp
@@ -11,34 +11,34 @@
 
 PeerUpdate host(const std::string &ip, units::Duration storeReachableFor, units::Duration age = {})
 {
-    PeerUpdate news;
-    news.ip = ip;
-    news.storeReachableFor = storeReachableFor;
-    news.age = age;
-    return news;
+    PeerUpdate update;
+    update.ip = ip;
+    update.storeReachableFor = storeReachableFor;
+    update.age = age;
+    return update;
 }
 
 } // namespace
 
-TEST_CASE("StoreOutage.HostThatWasTurnedAwayAloneKeepsNoMissingEndpoint")
+TEST_CASE("StoreOutage.RefusalOfOneHostIsNotFleetWide")
 {
-    // The store refuses this host for nine seconds and serves the others. An endpoint leaves in
-    // that time. Kept for two more seconds, as after an outage for all, it would get requests
-    // later than an endpoint that leaves may get any.
+    // The store refuses this host for nine seconds and serves the others, and an endpoint leaves in
+    // that time. If it were kept for two more seconds, as after an outage for all hosts, it would
+    // get requests for longer than allowed after it has left.
     const std::vector<PeerUpdate> hosts{host("own", {}), host("b", seconds(60)), host("c", {})};
     CHECK_FALSE(wasFleetWideOutage(seconds(9), "own", hosts));
 }
 
-TEST_CASE("StoreOutage.OutageForAllIsTold")
+TEST_CASE("StoreOutage.DetectsFleetWideOutage")
 {
-    // All lost the store; one got it back a little earlier than this host.
+    // The store was unavailable to all; one host reached it again a little earlier than this one.
     const std::vector<PeerUpdate> hosts{host("own", seconds(60)), host("b", milliseconds(400)),
                                         host("c", {})};
     CHECK(wasFleetWideOutage(seconds(5), "own", hosts));
     CHECK(wasFleetWideOutage(seconds(5), "own", {host("own", {})}));
 }
 
-TEST_CASE("StoreOutage.OldNewsProvesNothingAboutTheTimeSince")
+TEST_CASE("StoreOutage.OldGossipDoesNotRuleOutOutage")
 {
     CHECK(wasFleetWideOutage(seconds(1), "own", {host("b", seconds(2), milliseconds(1200))}));
 }
--- a/tests/routing/storereaders_test.cpp
+++ b/tests/routing/storereaders_test.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TEST_CASE("StoreReaders.AsManyInAnyFleetOneOfEachFailureDomainFirst")
+TEST_CASE("StoreReaders.CountIsIndependentOfFleetSizeAndDomainsAreCovered")
 {
     for (const int size : {30, 200}) {
         const std::vector<PeerUpdate> hosts = storeFleet(size);
@@ -37,10 +37,10 @@
     }
 }
 
-TEST_CASE("StoreReaders.HostsThatStopServingInAnOutageStayReaders")
+TEST_CASE("StoreReaders.HostsThatStopServingRemainReaders")
 {
-    // The store is away and one host after the other stops to serve. If readers were chosen among
-    // those that still do, more and more hosts would call the store.
+    // During a store outage one host after another stops serving. If readers were chosen among the
+    // serving hosts, more and more hosts would call the store.
     std::vector<PeerUpdate> hosts = storeFleet(100);
     const std::vector<std::string> before = storeReaders(hosts, StoreReaderCount);
     for (std::size_t i = 0; i < hosts.size(); i += 2)
@@ -48,7 +48,7 @@
     CHECK(storeReaders(hosts, StoreReaderCount) == before);
 }
 
-TEST_CASE("StoreReaders.LeavingRefusedAndJustStartedHostsGiveTheirPlaceToOthers")
+TEST_CASE("StoreReaders.LeavingRefusedAndNewHostsAreReplaced")
 {
     std::vector<PeerUpdate> hosts = storeFleet(100);
     const std::vector<std::string> before = storeReaders(hosts, StoreReaderCount);
@@ -66,17 +66,17 @@
         CHECK(std::find(now.begin(), now.end(), before[std::size_t(i)]) == now.end());
 }
 
-TEST_CASE("StoreReaders.AskersAreSpreadAndStayInTheirFailureDomain")
+TEST_CASE("StoreReaders.CallersAreSpreadWithinTheirFailureDomain")
 {
     const std::vector<PeerUpdate> hosts = storeFleet(200);
     const std::vector<std::string> readers = storeReaders(hosts, StoreReaderCount);
-    std::map<std::string, int> askers;
+    std::map<std::string, int> callers;
     for (const PeerUpdate &host : hosts) {
         const std::vector<std::string> order = readerOrder(host.ip, readers, hosts);
         REQUIRE(order.size() == readers.size());
         CHECK(hostWith(order.front(), hosts).failureDomain == host.failureDomain);
-        ++askers[order.front()];
+        ++callers[order.front()];
     }
-    for (const auto &[reader, count] : askers)
+    for (const auto &[reader, count] : callers)
         CHECK(count <= 50);
 }
--- a/tests/routing/waitforecast_test.cpp
+++ b/tests/routing/waitforecast_test.cpp
@@ -19,14 +19,14 @@
 
 } // namespace
 
-TEST_CASE("WaitForecast.RequestThatCanBeOnTimeWaits")
+TEST_CASE("WaitForecast.RequestThatCanBeOnTimeIsQueued")
 {
-    // 60 endpoints read 6,000 tokens a millisecond beside their streams.
+    // 60 endpoints prefill 6,000 tokens per millisecond in addition to their streams.
     const WaitForecaster forecaster;
     CHECK(breakdownAfter(forecaster, {4'000'000, 0}).decision == WaitDecision::Wait);
 }
 
-TEST_CASE("WaitForecast.LateRequestWaitsOnlyAShortTime")
+TEST_CASE("WaitForecast.LateRequestIsQueuedOnlyForShortWait")
 {
     const WaitForecaster forecaster;
     CHECK(breakdownAfter(forecaster, {5'500'000, 0}).decision == WaitDecision::Wait);
@@ -36,28 +36,28 @@
     CHECK(refused.retryDelay < milliseconds(1500));
 }
 
-TEST_CASE("WaitForecast.RequestWhoseClientLeavesSoonerIsRefused")
+TEST_CASE("WaitForecast.RequestThatExpiresSoonerIsRefused")
 {
     const WaitForecaster forecaster;
     CHECK(breakdownAfter(forecaster, {5'500'000, 0}, milliseconds(2400)).decision
           == WaitDecision::Refuse);
 }
 
-TEST_CASE("WaitForecast.FollowsTheMeasuredRate")
+TEST_CASE("WaitForecast.FollowsMeasuredDrainRate")
 {
-    // A quarter of the endpoints dies, and the others read parts again: the queue drains at half
-    // the usual rate, and requests that would have been on time can't be any more.
+    // A quarter of the endpoints fails and the others prefill parts again: the queue drains at half
+    // the usual rate, and requests that would have been on time no longer can be.
     WaitForecaster forecaster;
     for (int i = 0; i <= 40; ++i)
-        forecaster.drained(150'000, Start + milliseconds(50) * i);
+        forecaster.onDrained(150'000, Start + milliseconds(50) * i);
     CHECK(breakdownAfter(forecaster, {4'000'000, 0}).decision == WaitDecision::Refuse);
     CHECK(breakdownAfter(forecaster, {1'000'000, 0}).decision == WaitDecision::Wait);
 }
 
-TEST_CASE("WaitForecast.HangingEndpointsDoNotStopAllAdmission")
+TEST_CASE("WaitForecast.HangingEndpointsDoNotStopAdmission")
 {
     WaitForecaster forecaster;
     for (int i = 0; i <= 40; ++i)
-        forecaster.drained(0, Start + milliseconds(50) * i);
+        forecaster.onDrained(0, Start + milliseconds(50) * i);
     CHECK(breakdownAfter(forecaster, {500'000, 0}).decision == WaitDecision::Wait);
 }
