--- a/include/monsoongrade/duties/duty.h
+++ b/include/monsoongrade/duties/duty.h
@@ -6,19 +6,19 @@
 
 namespace monsoongrade::duties {
 
-// A call of a duty ends within this time, or is given up and its connection reset. The holder makes
-// one only if its lease lasts that long.
+// Timeout of a duty's call, after which its connection is reset. The lease holder starts a call
+// only if its lease lasts at least that long.
 constexpr units::Duration MaxCallTime = std::chrono::milliseconds(900);
 
-// What the lease's holder does for all hosts.
+// A task that only the lease holder runs, on behalf of all hosts.
 class Duty
 {
 public:
     virtual ~Duty() = default;
-    // Called several times a second while the lease lasts for one more call of at most MaxCallTime.
-    // Starts what is due now, with the token that all its calls carry.
+    // Called several times a second while the lease is valid for at least MaxCallTime. Starts the
+    // calls that are due; each carries the token.
     virtual void act(FencingToken token) = 0;
-    // True while a call that carries the token may still arrive.
+    // True while a call of this duty may still reach the platform.
     virtual bool hasOpenCall() const = 0;
 };
 
--- a/include/monsoongrade/duties/dutyhosts.h
+++ b/include/monsoongrade/duties/dutyhosts.h
@@ -8,12 +8,14 @@
 
 namespace monsoongrade::duties {
 
-// IPs of the hosts that take the duties' lease if it is free, best first. A few, since each reads
-// the lease in the store; more than one failure domain's, so that one is left in most troubles.
+// IPs of the hosts that acquire the duty lease if it is free, in order of preference. Only a few,
+// since each polls the lease in the store; from several failure domains where possible, so that one
+// survives most outages.
 std::vector<std::string> dutyCandidates(const std::vector<routing::PeerUpdate> &hosts);
 
-// IPs of the hosts to which all hosts tell what they count: the holder and all that may succeed it.
-// A successor that was not told would lack the counts of hosts that are lost with the holder.
+// IPs of the hosts to which all hosts send their usage counts: the lease holder and all candidates
+// to succeed it. Otherwise a successor would lack the counts of hosts that fail together with the
+// holder.
 std::vector<std::string> usageCollectors(const std::vector<routing::PeerUpdate> &hosts);
 
 } // namespace monsoongrade::duties
--- a/include/monsoongrade/duties/dutyplatform.h
+++ b/include/monsoongrade/duties/dutyplatform.h
@@ -11,16 +11,16 @@
 
 enum class CallOutcome {
     Accepted,
-    Unavailable, // what was asked for is not to be had at the moment
-    Rejected, // nothing was done: too many calls, or the platform is in trouble
-    NoAnswer, // the call may have taken effect
+    Unavailable, // no capacity for the order at the moment
+    Rejected, // not executed: rate limit, or a fault of the platform
+    NoAnswer, // may or may not have been executed
 };
 
-// Short name for logs and counters.
+// Name used in logs and metrics.
 const char *callOutcomeName(CallOutcome outcome);
 
-// Calls to the platform that one host at a time makes for all. Each reports once, at most
-// MaxCallTime later; one that is given up then does not arrive any more.
+// Platform calls that only the lease holder makes. Each callback runs once, within MaxCallTime; a
+// call that timed out no longer reaches the platform.
 class DutyPlatform
 {
 public:
--- a/include/monsoongrade/duties/dutyrunner.h
+++ b/include/monsoongrade/duties/dutyrunner.h
@@ -10,8 +10,8 @@
 
 namespace monsoongrade::duties {
 
-// Keeps one lease for any number of duties and lets them act while this host holds it. Logs when
-// the lease is gained and lost.
+// Maintains one lease for any number of duties and runs them while this host holds it. Logs when
+// the lease is gained or lost.
 class DutyRunner
 {
 public:
@@ -19,17 +19,18 @@
 
     // The duty must outlive this object.
     void add(Duty &duty) { duties_.push_back(&duty); }
-    // To be called several times a second. isCandidate: this host takes the lease if it is free.
+    // Must be called several times a second. isCandidate: this host acquires the lease if it is
+    // free.
     void run(bool isCandidate);
-    // Gives the lease back, at a planned stop: at once, or when the last call has ended.
+    // Releases the lease at a planned stop, as soon as no call is open.
     void stop();
-    // The token under which this host may act now; 0 if it may not.
+    // The fencing token under which this host may act now; 0 if it may not.
     FencingToken currentToken() const;
 
 private:
     bool hasOpenCall() const;
     void callStore(const Lease::Step &step);
-    void noteChange();
+    void logChange();
 
     LeaseStore &store_;
     const units::Clock &clock_;
@@ -38,7 +39,7 @@
     bool isCalling_ = false;
     bool isStopping_ = false;
     FencingToken lastToken_;
-    // Answers that come after this object is gone find this expired.
+    // Expires with this object, so that later callbacks do nothing.
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/monsoongrade/duties/lease.h
+++ b/include/monsoongrade/duties/lease.h
@@ -9,27 +9,27 @@
 
 namespace monsoongrade::duties {
 
-// One host's view of a lease that one host at a time may hold, kept in the platform's store.
-// Decides the next call to the store and whether this host may act as the holder; makes no call
-// itself.
+// One host's view of an exclusive lease in the platform's store. Decides the next call to the store
+// and whether this host holds the lease; makes no calls itself.
 //
-// The holder counts its time from when it sent a renewal, all others from when they first saw one,
-// which is later. Only a conditional write takes the lease over, so two hosts never hold it at once
-// as long as their clocks, which count suspension, run at about the same speed.
+// The holder measures the lease from when it sent a renewal, all others from when they first
+// observed one, which is later. The lease is taken over only by a conditional write, so two hosts
+// never hold it at once as long as their clocks, which count suspension, run at about the same
+// speed.
 class Lease
 {
 public:
     struct Settings
     {
-        std::string holder; // this life of this host
-        units::Duration duration; // of the lease after a renewal
-        // For how long a host that has lost the lease, or may have, leaves it to others.
-        units::Duration pauseAfterLoss;
+        std::string holder; // identifies this process run on this host
+        units::Duration duration; // validity of the lease after a renewal
+        // How long a host that lost the lease, or may have, does not try to acquire it again.
+        units::Duration reacquireDelay;
     };
 
     enum class Call { None, Read, Create, Replace };
 
-    // The call to make now. At most one is open at a time.
+    // The store call to make now. At most one call is open at a time.
     struct Step
     {
         Call call = Call::None;
@@ -39,20 +39,20 @@
 
     Lease(Settings settings, units::TimePoint startedAt);
 
-    // isCandidate: this host takes the lease if it is free. The step is to be made at once: its
-    // time counts from now on.
+    // isCandidate: this host acquires the lease if it is free. The call must be made at once: the
+    // validity of the lease is measured from now.
     Step next(bool isCandidate, units::TimePoint now);
-    // The answer to the last step.
-    void onAnswer(const LeaseCallResult &answer, units::TimePoint now);
+    // Handles the result of the last call.
+    void onResult(const LeaseCallResult &result, units::TimePoint now);
 
-    // Gives the lease up for good, at a planned stop.
+    // Releases the lease permanently, at a planned stop.
     void release() { isReleasing_ = true; }
 
-    // Whether what is done now and within the given time is done as the only holder.
-    bool mayAct(units::TimePoint now, units::Duration within) const;
-    // Of this host, while it may act.
+    // True if this host is the only holder from now until the end of the given time.
+    bool isHeldFor(units::TimePoint now, units::Duration within) const;
+    // Token of the last known holder, which is this host's own while it holds the lease.
     FencingToken token() const { return known_ ? known_->record.token : FencingToken(); }
-    // The one who holds the lease as far as known here; empty if none does.
+    // The last known holder; empty if there is none.
     std::string holder() const { return known_ ? known_->record.holder : std::string(); }
 
 private:
@@ -64,9 +64,9 @@
     Settings settings_;
     std::optional<StoredLease> known_;
     bool isKnownMissing_ = false;
-    units::TimePoint seenAt_{}; // when the known revision was first seen
-    units::TimePoint mayContendFrom_;
-    units::TimePoint validUntil_{}; // of the own lease
+    units::TimePoint observedAt_{}; // when known_ was first observed
+    units::TimePoint mayAcquireFrom_;
+    units::TimePoint validUntil_{}; // of this host's lease
     units::TimePoint nextCallAt_{};
     LeaseRecord lastWrite_;
     units::TimePoint lastWriteAt_{};
--- a/include/monsoongrade/duties/leaserecord.h
+++ b/include/monsoongrade/duties/leaserecord.h
@@ -9,16 +9,16 @@
 
 namespace monsoongrade::duties {
 
-// Grows by one with each change of holder. Sent with each call of a duty, so that the platform can
-// tell the calls of the present holder from those of earlier ones. 0: not held yet.
+// Incremented with each change of holder. Sent with each call of a duty, so that the platform can
+// tell the current holder's calls from those of earlier ones. 0: never held.
 using FencingToken = units::StrongNumber<struct FencingTokenTag, std::uint64_t>;
 
-// What the platform's store holds of a lease.
+// Content of the lease object in the platform's store.
 struct LeaseRecord
 {
-    std::string holder; // one life of one host; empty: released
-    FencingToken token; // of the holder, or of the last one
-    // Differs in each renewal: the store drops a write that changes nothing.
+    std::string holder; // one process run on one host; empty if released
+    FencingToken token; // of the current or last holder
+    // Differs with each renewal, because the store ignores a write that changes nothing.
     std::uint64_t renewal = 0;
 
     friend bool operator==(const LeaseRecord &a, const LeaseRecord &b)
--- a/include/monsoongrade/duties/leasestore.h
+++ b/include/monsoongrade/duties/leasestore.h
@@ -8,31 +8,31 @@
 
 namespace monsoongrade::duties {
 
-// What a call told about the lease.
+// Result of a call to the lease store.
 struct LeaseCallResult
 {
     enum class Outcome {
-        Stored, // the lease as the store holds it, whether or not the call changed it
-        Missing, // there is none
-        Unknown, // no answer, or one that does not show the lease; a write may have taken effect
+        Stored, // the lease now in the store, whether or not the call changed it
+        Missing, // the lease object does not exist
+        Unknown, // no answer, or one without the lease; a write may have taken effect
     };
 
     Outcome outcome = Outcome::Unknown;
     StoredLease stored; // with Stored
 };
 
-// The object in the platform's store that holds a lease. Each call reports once.
+// Access to the lease object in the platform's store. Each callback runs once.
 class LeaseStore
 {
 public:
     using Done = std::function<void(LeaseCallResult)>;
 
     virtual ~LeaseStore() = default;
-    // May return an older state.
+    // May return a stale state.
     virtual void read(Done done) = 0;
-    // Creates the object unless there is one.
+    // Creates the object unless it exists.
     virtual void create(const LeaseRecord &record, Done done) = 0;
-    // Replaces the object if its revision is still the given one.
+    // Replaces the object if its revision is the expected one.
     virtual void replace(const LeaseRecord &record, routing::Revision expected, Done done) = 0;
 };
 
--- a/include/monsoongrade/duties/usageledger.h
+++ b/include/monsoongrade/duties/usageledger.h
@@ -12,7 +12,7 @@
 
 namespace monsoongrade::duties {
 
-// How many requests of a workspace one host began in a window, by its own count so far.
+// Number of requests of a workspace that one host has started in a window so far.
 struct UsageEntry
 {
     WindowNumber window;
@@ -20,37 +20,37 @@
     std::uint64_t total = 0;
 };
 
-// Counts of requests that began to run, this host's own and those told by others. Each count of
-// each life of a host only grows, so it may be told any number of times, in any order and through
-// any host: the largest number heard is the newest. What several hosts were told is lost only with
-// all of them.
+// Counts of started requests, from this host and from others: a grow-only counter for each source,
+// which is one process run on one host. As a source's counts never decrease, entries may be sent
+// repeatedly, in any order and through any host; the largest value is the newest. Counts that
+// several hosts have received are lost only if all of these fail.
 class UsageLedger
 {
 public:
-    // self: this life of this host.
-    explicit UsageLedger(std::string self);
+    // sourceId: identifies this process run.
+    explicit UsageLedger(std::string sourceId);
 
-    const std::string &sourceId() const { return self_; }
-    // A request began to run.
+    const std::string &sourceId() const { return sourceId_; }
+    // Records the start of a request.
     void increment(WindowNumber window, const units::WorkspaceName &workspace);
-    // What a life of a host said of itself.
-    void merge(const std::string &reporter, const UsageEntry &entry);
+    // Merges an entry that another source reported about itself.
+    void merge(const std::string &source, const UsageEntry &entry);
 
-    // Of all hosts.
+    // Totals over all sources.
     UsageCounts totals(WindowNumber window) const;
-    // Own counts that changed since the last call.
-    std::vector<UsageEntry> takeChanged();
-    // All own counts.
-    std::vector<UsageEntry> own() const;
+    // This source's counts that changed since the last call.
+    std::vector<UsageEntry> takeChangedEntries();
+    // All counts of this source.
+    std::vector<UsageEntry> localCounts() const;
 
     void eraseBefore(WindowNumber window);
 
 private:
     using ByWorkspace = std::map<units::WorkspaceName, std::uint64_t>;
-    using ByReporter = std::map<std::string, ByWorkspace>;
+    using BySource = std::map<std::string, ByWorkspace>;
 
-    std::string self_;
-    std::map<WindowNumber, ByReporter> windows_;
+    std::string sourceId_;
+    std::map<WindowNumber, BySource> windows_;
     std::set<std::pair<WindowNumber, units::WorkspaceName>> changed_;
 };
 
--- a/include/monsoongrade/duties/usagepublisher.h
+++ b/include/monsoongrade/duties/usagepublisher.h
@@ -11,32 +11,31 @@
 
 namespace monsoongrade::duties {
 
-// Own counts to be told to one host.
+// Usage counts of this host to send to one collector.
 struct UsageUpdate
 {
-    std::string collector; // its IP
+    std::string collector; // IP of the collector
     std::vector<UsageEntry> entries;
 };
 
-// Decides which of its counts a host tells to whom. The load it answers: every host begins requests
-// all the time and may be lost at any moment, with what it has not told. So changes are told
-// several times a second, and all counts now and then and to each new keeper, which makes up for
-// messages that were lost.
+// Decides which usage counts a host sends to which collector. A host may fail at any moment, and
+// counts that it has not sent are lost with it, so changes are sent several times a second. All
+// counts are sent periodically and to each new collector, to make up for lost messages.
 class UsagePublisher
 {
 public:
     explicit UsagePublisher(std::string ownIp);
 
-    // The pause between two rounds. Longer in a large fleet, whose keepers hear from all hosts.
+    // The interval between updates. Grows with the fleet, as each collector hears from all hosts.
     static units::Duration interval(std::size_t hosts);
-    // What is to be told now.
-    std::vector<UsageUpdate> nextUpdates(const std::vector<std::string> &keepers,
+    // Returns the updates to send now.
+    std::vector<UsageUpdate> nextUpdates(const std::vector<std::string> &collectors,
                                          UsageLedger &ledger, units::TimePoint now);
 
 private:
     std::string ownIp_;
-    std::set<std::string> informed_; // keepers that lack only recent changes
-    units::TimePoint allToldAt_{};
+    std::set<std::string> upToDateCollectors_; // collectors that need only recent changes
+    units::TimePoint lastFullUpdateAt_{};
 };
 
 } // namespace monsoongrade::duties
--- a/include/monsoongrade/duties/usagereporter.h
+++ b/include/monsoongrade/duties/usagereporter.h
@@ -13,8 +13,8 @@
 
 namespace monsoongrade::duties {
 
-// The duty of reporting usage: the counts of each window that ended are first fixed in the store
-// and then sent as they were fixed, also if this host or another one has to send them again.
+// The duty of reporting usage to the platform. The counts of each finished window are first stored
+// and then sent as stored, so that a retry by this or another host sends the same report.
 class UsageReporter : public Duty
 {
 public:
@@ -27,14 +27,14 @@
 private:
     struct Report
     {
-        std::optional<UsageCounts> fixed;
+        std::optional<UsageCounts> stored;
         bool isSent = false;
     };
 
     std::optional<WindowNumber> nextWindow(WallTime now);
-    void fix(WindowNumber window);
+    void storeReport(WindowNumber window);
     void send(WindowNumber window, FencingToken token);
-    void removeOld(WindowNumber oldest);
+    void removeExpired(WindowNumber oldest);
     void retryLater();
 
     UsageWindows windows_;
@@ -45,10 +45,10 @@
     const units::Clock &clock_;
     std::map<WindowNumber, Report> reports_;
     bool isCalling_ = false;
-    units::TimePoint callAgainAt_{};
-    // Counts of other hosts arrive for a while after this host became the holder.
-    std::optional<units::TimePoint> heldSince_;
-    FencingToken heldToken_;
+    units::TimePoint nextCallAt_{};
+    // When this host became the lease holder; counts of other hosts arrive for a while after that.
+    std::optional<units::TimePoint> holderSince_;
+    FencingToken lastToken_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/monsoongrade/duties/usagereportstore.h
+++ b/include/monsoongrade/duties/usagereportstore.h
@@ -8,18 +8,18 @@
 
 namespace monsoongrade::duties {
 
-// Reports in the platform's store. A report is written there once, before it is sent, and never
-// changes: a second holder sends the same one.
+// Usage reports in the platform's store. A report is written once, before it is sent, and never
+// changes, so that a new lease holder sends the same one.
 class UsageReportStore
 {
 public:
-    // The report of the window as the store holds it; nothing if that is not known.
+    // The report of the window as stored; nothing if that is not known.
     using Done = std::function<void(std::optional<UsageCounts>)>;
 
     virtual ~UsageReportStore() = default;
-    // Creates the report of the window, or reads the one that is there.
+    // Creates the report of the window, or reads the existing one.
     virtual void createOrRead(WindowNumber window, const UsageCounts &counts, Done done) = 0;
-    // Removes the report of a window so old that no host would report it.
+    // Removes the report of a window that is too old to be reported.
     virtual void remove(WindowNumber window) = 0;
 };
 
--- a/include/monsoongrade/duties/usagewindow.h
+++ b/include/monsoongrade/duties/usagewindow.h
@@ -10,17 +10,17 @@
 
 namespace monsoongrade::duties {
 
-// Numbers the spans of time for which usage is reported; the first began with 1970.
+// Number of a reporting window; window 0 starts at the Unix epoch.
 using WindowNumber = units::StrongNumber<struct WindowNumberTag, std::int64_t>;
 
-// Requests of each workspace that began to run in one window.
+// Requests started in one window, by workspace.
 using UsageCounts = std::map<units::WorkspaceName, std::uint64_t>;
 
-// The windows that the platform asks for.
+// The reporting windows of the platform.
 struct UsageWindows
 {
-    units::Duration length; // of one window
-    units::Duration dueWithin; // after a window's end, its report is due
+    units::Duration length; // of a window
+    units::Duration dueWithin; // deadline of a report, measured from the window's end
 
     WindowNumber windowAt(WallTime time) const
     {
--- a/include/monsoongrade/duties/walltimeestimate.h
+++ b/include/monsoongrade/duties/walltimeestimate.h
@@ -9,25 +9,24 @@
 
 namespace monsoongrade::duties {
 
-// Time of day.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, units::Duration>;
 
-// The time of day on which most hosts agree. The clock of a host may step by seconds; usage counted
-// by it would fall into another window. Keeps how far the time of day of each host heard of lately
-// is from this host's boot clock, and takes the median.
+// Estimates the wall-clock time on which most hosts agree. A host's own wall clock may step by
+// seconds, which would count usage in the wrong window. Keeps the offset of the wall clock of each
+// host heard from recently, relative to this host's boot clock, and uses the median.
 class WallTimeEstimate
 {
 public:
-    // What a host's clock showed; host is empty for this one. A datagram that took long to arrive
-    // makes it look slow, so the fastest sample of a host counts for a while.
+    // Adds a reading of a host's wall clock. Network delay makes a clock look slow, so the largest
+    // offset of a host is kept for a while.
     void onSample(const std::string &host, WallTime shown, units::TimePoint now);
-    // The agreed time of day; there must have been a sample.
+    // The estimated time; requires at least one sample.
     WallTime at(units::TimePoint now) const;
 
 private:
     struct Sample
     {
-        units::Duration ahead{}; // of the boot clock
+        units::Duration offset{}; // of the wall clock, relative to the boot clock
         units::TimePoint takenAt;
     };
 
--- a/include/monsoongrade/duties/workerorder.h
+++ b/include/monsoongrade/duties/workerorder.h
@@ -5,7 +5,7 @@
 
 namespace monsoongrade::duties {
 
-// The number of endpoints of one kind that a pool shall have in a failure domain.
+// The desired number of endpoints of one kind of a pool in one failure domain.
 struct WorkerOrder
 {
     units::PoolName pool;
--- a/include/monsoongrade/httpio/channel.h
+++ b/include/monsoongrade/httpio/channel.h
@@ -13,31 +13,31 @@
 
 namespace monsoongrade::httpio {
 
-// How an exchange on a channel ended without a whole response.
+// How an exchange on a channel ended without a complete response.
 enum class ChannelFailure {
     NotConnected, // no connection was made
-    NothingSent, // the connection broke before the system took any byte of the request
-    BrokenBeforeResponse, // some bytes of the request may have left; no byte came back
+    NothingSent, // closed before the kernel accepted any byte of the request
+    BrokenBeforeResponse, // bytes of the request may have been sent; none were received
     BrokenInResponse, // closed or reset after the first byte of a response, before its end
-    Malformed, // bytes came that are no HTTP response
+    Malformed, // received bytes that are not an HTTP response
 };
 
-// Receives what happens to the request that a channel carries.
+// Receives the events of the request that a channel carries.
 class ChannelListener
 {
 public:
     virtual ~ChannelListener() = default;
     virtual void onResponseHead(const MessageHead &head) = 0;
     virtual void onResponseBody(std::string_view bytes) = 0;
-    // The response is whole. The user decides before it returns: release or close the channel, or
-    // do nothing to receive the next response, because this one belonged to another request.
+    // The response is complete. Before it returns, the listener may release or close the channel;
+    // otherwise it receives the next response, as when this one belonged to another request.
     virtual void onResponseEnd() = 0;
-    // The channel is closed; nothing follows.
+    // The channel is closed; no further call follows.
     virtual void onChannelFailure(ChannelFailure failure) = 0;
 };
 
-// One TCP connection to an HTTP/1.1 server, which carries one request at a time. It never sends a
-// request twice and never reconnects: only the caller knows whether a request may run again.
+// One TCP connection to an HTTP/1.1 server, which carries one request at a time. Never resends a
+// request and never reconnects: only the caller knows whether a request may be repeated.
 class Channel : public std::enable_shared_from_this<Channel>, private MessageListener
 {
 public:
@@ -46,36 +46,37 @@
     Channel(const Channel &) = delete;
     Channel &operator=(const Channel &) = delete;
 
-    // Connects, and reports once whether that worked. The caller limits the time by close(),
-    // after which nothing is reported.
+    // Connects, and reports once whether that succeeded. To enforce a timeout, the caller calls
+    // close(), after which nothing is reported.
     void connect(std::function<void(bool)> connected);
 
-    // Sends a request. The user must live until its end, a failure, release() or close().
-    void send(std::string head, std::shared_ptr<const std::string> body, ChannelListener &user);
+    // Sends a request. The listener must outlive the request: until its response ends, it fails, or
+    // release() or close() is called.
+    void send(std::string head, std::shared_ptr<const std::string> body, ChannelListener &listener);
 
-    // Ends the use of a channel whose response is whole. Returns true if it can carry another
-    // request; onUnusable is then called if the server closes it, or sends bytes that no request
-    // asked for, while it is idle.
+    // Ends the use of a channel whose response is complete. Returns true if it can carry another
+    // request; onUnusable is then called if the server closes it or sends unsolicited bytes while
+    // it is idle.
     bool release(std::function<void()> onUnusable);
 
-    // Closes at once. Neither the user nor onUnusable is called.
+    // Closes at once. Calls neither the listener nor onUnusable.
     void close();
-    // Closes at once by a reset: bytes of the request that have not left yet never do.
+    // Closes at once with a TCP reset, which discards unsent bytes of the request.
     void reset();
 
-    // Stops and resumes reading, to slow the server down to the speed of a slow reader.
+    // Pause and resume reading, for backpressure from a slow reader.
     void pauseReading();
     void resumeReading();
 
-    // False if the server has already closed the connection or left unread bytes on it. Asks the
-    // system, which may know of a close that this process has not handled yet.
+    // Returns false if the server has closed the connection or sent bytes that are not read yet.
+    // Asks the kernel, which may know of a close that this process has not handled yet.
     bool isStillIdle();
 
     bool isOpen() const { return open_; }
     const asio::ip::tcp::endpoint &address() const { return address_; }
 
 private:
-    // A stream's events are below 400 bytes each, so one read takes several of them.
+    // An event of a stream is smaller than 400 bytes, so one read takes several events.
     static constexpr std::size_t ReadBufferBytes = 4096;
 
     void onHead(MessageHead head) override;
@@ -85,8 +86,8 @@
     void read();
     void onRead(const asio::error_code &error, std::size_t count);
     void parse(std::string_view bytes);
-    void onClosedByPeer(bool inOrder);
-    // Closes an idle channel and tells its owner.
+    void onClosedByPeer(bool isOrderly);
+    // Closes an idle channel and notifies its owner.
     void becomeUnusable();
     void fail(ChannelFailure failure);
 
@@ -94,7 +95,7 @@
     asio::ip::tcp::endpoint address_;
     MessageParser parser_;
     std::array<char, ReadBufferBytes> buffer_{};
-    ChannelListener *user_ = nullptr;
+    ChannelListener *listener_ = nullptr;
     std::function<void()> onUnusable_;
     std::string head_;
     std::shared_ptr<const std::string> body_;
@@ -105,7 +106,7 @@
     bool sentSomething_ = false;
     bool receivedSomething_ = false;
     bool keepAlive_ = true;
-    bool responseEnded_ = true; // nothing is awaited
+    bool isResponseComplete_ = true; // no response is expected
 };
 
 } // namespace monsoongrade::httpio
--- a/include/monsoongrade/httpio/messagehead.h
+++ b/include/monsoongrade/httpio/messagehead.h
@@ -10,7 +10,7 @@
 
 using http::Headers;
 
-// Start line and headers of one HTTP/1.1 message. Header names keep the sender's spelling.
+// Start line and headers of one HTTP/1.1 message. Header names keep the sender's case.
 struct MessageHead
 {
     std::string method; // requests only
@@ -18,21 +18,21 @@
     int status = 0; // responses only
     Headers headers;
     bool keepAlive = true; // the sender will accept another message on this connection
-    bool endsAtClose = false; // a response without length; its end is the orderly close
-    bool hasBody = false; // a length above 0, chunks, or a body that ends at the close
+    bool endsAtClose = false; // a response without length, which ends at the orderly close
+    bool hasBody = false; // a length above 0, chunked, or delimited by the close
 };
 
-// True if both names are the same header name, whatever their case.
+// Compares case-insensitively.
 bool sameHeaderName(std::string_view a, std::string_view b);
 
-// The value of the first header of that name, or nullptr.
+// Returns the value of the first header of that name, or nullptr.
 const std::string *findHeader(const Headers &headers, std::string_view name);
 
-// True if any header of that name lists the token, whatever its case ("Connection: a, close").
+// True if any header of that name lists the token, case-insensitively ("Connection: a, close").
 bool headerListsToken(const Headers &headers, std::string_view name, std::string_view token);
 
-// The headers without those that concern one connection only: the hop-by-hop names of HTTP/1.1,
-// what the Connection header names, and the framing of the body.
+// Returns the headers without hop-by-hop ones: those that HTTP/1.1 defines, those listed in the
+// Connection header, and those that frame the body.
 Headers endToEndHeaders(const Headers &headers);
 
 } // namespace monsoongrade::httpio
--- a/include/monsoongrade/httpio/messageparser.h
+++ b/include/monsoongrade/httpio/messageparser.h
@@ -9,7 +9,7 @@
 
 namespace monsoongrade::httpio {
 
-// Receives the parts of the messages that a MessageParser reads.
+// Receives the parts of each message from a MessageParser.
 class MessageListener
 {
 public:
@@ -21,9 +21,9 @@
 
 enum class MessageKind { Request, Response };
 
-// Reads HTTP/1.1 messages from bytes as they arrive. Interim responses (1xx) are skipped. It
-// rejects what two parsers could frame differently, such as a request with both a length and
-// chunks: a request hidden in the body of another would else reach an endpoint.
+// Incremental parser of HTTP/1.1 messages. Skips interim responses (1xx). Rejects requests with
+// ambiguous framing, such as both a length and chunks, to prevent request smuggling: a request
+// hidden in the body of another could otherwise reach an endpoint.
 class MessageParser
 {
 public:
@@ -32,21 +32,22 @@
     MessageParser(const MessageParser &) = delete;
     MessageParser &operator=(const MessageParser &) = delete;
 
-    // Takes bytes up to the end of the current message and returns how many it took. The rest
-    // belongs to the next message, which is read only by another call.
+    // Consumes bytes up to the end of the current message and returns their number. The rest
+    // belongs to the next message, which takes another call.
     std::size_t feed(std::string_view bytes);
 
-    // The peer closed in order. Returns true if that completes a response without length.
+    // Handles an orderly close by the peer. Returns true if that completes a response without
+    // length.
     bool finishAtClose();
 
     bool failed() const;
-    // The head grew over the limit; failed() is true as well.
+    // The head exceeded the limit; failed() is true as well.
     bool headTooLarge() const;
-    // Some bytes of a message have arrived, but not all of them.
+    // A message has arrived in part.
     bool insideMessage() const;
-    // The head of the current message has been read whole.
+    // The head of the current message is complete.
     bool headComplete() const;
-    // The next response has no body, whatever its headers say.
+    // The next response has no body, regardless of its headers.
     void expectNoBody();
     void setMaxHeadBytes(std::size_t bytes);
 
--- a/include/monsoongrade/httpio/messagewriter.h
+++ b/include/monsoongrade/httpio/messagewriter.h
@@ -12,15 +12,15 @@
 // How the receiver finds the end of the body.
 enum class Framing { Length, Chunked };
 
-// Encodes a request with a body of the given length, 0 included for methods that carry bodies.
+// Encodes the head of a request. Writes a length of 0 only for methods that carry bodies.
 std::string encodeRequestHead(std::string_view method, std::string_view target,
                               const Headers &headers, std::size_t bodyLength);
 
-// Encodes the head of a response; the length counts only for Framing::Length.
+// Encodes the head of a response; the length is used only with Framing::Length.
 std::string encodeResponseHead(int status, const Headers &headers, Framing framing,
                                std::size_t bodyLength, bool keepAlive);
 
-// One chunk of a chunked body; must not be empty, as an empty chunk ends the body.
+// Encodes one chunk of a chunked body. Must not be empty, as an empty chunk ends the body.
 std::string encodeChunk(std::string_view bytes);
 
 // Ends a chunked body.
--- a/include/monsoongrade/httpio/server.h
+++ b/include/monsoongrade/httpio/server.h
@@ -13,12 +13,12 @@
 
 namespace monsoongrade::httpio {
 
-// One whole request with its body.
+// One complete request with its body.
 struct ServerRequest
 {
     MessageHead head;
     std::shared_ptr<const std::string> body;
-    // When its first byte was read; the client's own clock started a little earlier.
+    // When its first byte was read; the client started to measure time slightly earlier.
     units::TimePoint receivedAt;
 };
 
@@ -26,22 +26,22 @@
 
 class ServerConnection;
 
-// Accepts HTTP/1.1 connections on one address and hands each whole request to the handler.
+// Accepts HTTP/1.1 connections on one address and passes each complete request to the handler.
 class Server
 {
 public:
-    // Throws asio::system_error if the address can't be listened on. The limits must outlive the
+    // Throws asio::system_error if it can't listen on the address. The limits must outlive the
     // server.
     Server(asio::io_context &io, Timers &timers, const asio::ip::tcp::endpoint &address,
            const ServerLimits &limits, RequestHandler handler);
     ~Server();
 
-    // Every response from now on asks the client to close the connection. New connections are
+    // From now on, each response asks the client to close the connection. New connections are
     // still accepted, because clients keep using an address for some seconds.
     void startDraining();
-    // Stops accepting, and closes connections on which no request is open.
+    // Stops accepting connections and closes those without an open request.
     void stopAccepting();
-    // Requests that have been read and are not answered to the end.
+    // Requests that have been read and whose response is incomplete.
     std::size_t openRequests() const { return openRequests_; }
     std::size_t connections() const { return connections_.size(); }
     const asio::ip::tcp::endpoint &address() const { return address_; }
--- a/include/monsoongrade/httpio/serverlimits.h
+++ b/include/monsoongrade/httpio/serverlimits.h
@@ -6,17 +6,18 @@
 
 namespace monsoongrade::httpio {
 
-// What a client may send and how long it may take. The server reads them at each use, so a change
-// counts for open connections too. The defaults hold until the operator's configuration arrives.
+// Limits on the size and duration of requests. The server reads them at each use, so a change
+// affects open connections too. The defaults apply until the operator's configuration arrives.
 struct ServerLimits
 {
     std::size_t maxHeadBytes = 16 * 1024;
     std::size_t maxBodyBytes = 4 * 1024 * 1024;
     // From the first byte of a request to the end of its head.
     std::chrono::milliseconds headTimeout = std::chrono::seconds(5);
-    // Without a byte: between two requests, or within a body.
+    // Without receiving a byte, between two requests or within a body.
     std::chrono::milliseconds idleTimeout = std::chrono::seconds(30);
-    // Bodies of all connections together; more is refused. Set from the memory of the host.
+    // Total size of the bodies of all connections, above which requests are refused. Set from the
+    // memory of the host.
     std::size_t maxBufferedBytes = 64 * 1024 * 1024;
     std::size_t maxConnections = 1000;
 };
--- a/include/monsoongrade/httpio/socketoptions.h
+++ b/include/monsoongrade/httpio/socketoptions.h
@@ -8,11 +8,12 @@
 
 namespace monsoongrade::httpio {
 
-// Sends small writes at once, and has the system break a connection whose peer went silent:
-// without a reset, a host that lost power or a path would otherwise look connected for ever.
+// Disables Nagle's algorithm and enables keep-alive probes and a user timeout, so that the kernel
+// closes a connection whose peer is silent: a host that lost power or its network path sends no
+// reset and would otherwise look connected forever.
 void setSocketOptions(asio::ip::tcp::socket &socket);
 
-// Reads "1.2.3.4:80"; nothing if the text is no such address.
+// Parses an IPv4 address with port, such as "1.2.3.4:80"; returns nothing if the text is invalid.
 std::optional<asio::ip::tcp::endpoint> parseAddress(const std::string &text);
 
 } // namespace monsoongrade::httpio
--- a/include/monsoongrade/httpio/sseeventbuffer.h
+++ b/include/monsoongrade/httpio/sseeventbuffer.h
@@ -6,25 +6,25 @@
 
 namespace monsoongrade::httpio {
 
-// Cuts a stream of server-sent events at the ends of events. A caller is given whole events
-// only: behind a piece of one, neither the closing error event nor the continuation from another
-// endpoint could be told from the piece's own bytes.
+// Splits a stream of server-sent events at the ends of events. A caller receives complete events
+// only: after part of an event, it could not tell a final error event, or the continuation from
+// another endpoint, from the rest of that event.
 class SseEventBuffer
 {
 public:
-    // The bytes up to the last end of an event; the rest is kept for the next call. An event
-    // beyond the limit is passed on in pieces.
+    // Adds bytes and returns the complete events; the rest is kept for the next call. An event
+    // over the size limit is passed on in parts.
     std::string feed(std::string_view bytes);
-    // What is kept of an unfinished event; kept no more.
+    // Returns the buffered part of an incomplete event and clears the buffer.
     std::string takePartialEvent();
-    bool hasPartialEvent() const { return !rest_.empty(); }
-    // Forgets the piece of an event that an endpoint broke off in.
-    void discardPartialEvent() { rest_.clear(); }
-    // False while the caller has a piece of an unfinished event.
+    bool hasPartialEvent() const { return !buffer_.empty(); }
+    // Discards the part of an event that an endpoint did not complete.
+    void discardPartialEvent() { buffer_.clear(); }
+    // False while the caller has received part of an incomplete event.
     bool isAtEventBoundary() const { return !insideOversized_; }
 
 private:
-    std::string rest_;
+    std::string buffer_;
     bool insideOversized_ = false;
 };
 
--- a/include/monsoongrade/httpio/timers.h
+++ b/include/monsoongrade/httpio/timers.h
@@ -13,16 +13,16 @@
 
 namespace monsoongrade::httpio {
 
-// Runs functions at points of time of the given clock, on the io_context's thread. All deadlines
-// share one system timer, which wakes at least every MaxSleep: the system timer does not count
-// time during which the host was suspended, so a longer sleep would delay deadlines after a
-// wake-up by the length of the suspension.
+// Runs functions at given times of the clock, on the io_context's thread. All deadlines share one
+// system timer, which fires at least every MaxSleep: the system timer does not count time during
+// which the host is suspended, so a longer sleep would delay deadlines after a resume by the
+// length of the suspension.
 class Timers
 {
 public:
     using Function = std::function<void()>;
 
-    // Names one scheduled function; a default-made one names none.
+    // Identifies one scheduled function; a default-constructed handle identifies none.
     class Handle
     {
         friend class Timers;
@@ -34,7 +34,8 @@
 
     Handle at(units::TimePoint when, Function function);
     Handle after(units::Duration delay, Function function);
-    // Does nothing if the function has run, was cancelled, or the handle names none. Clears it.
+    // Does nothing if the function has run, was cancelled, or the handle identifies none. Clears
+    // the handle.
     void cancel(Handle &handle);
     units::TimePoint now() const { return clock_.now(); }
 
--- a/include/monsoongrade/scaling/baselinestore.h
+++ b/include/monsoongrade/scaling/baselinestore.h
@@ -7,24 +7,23 @@
 
 namespace monsoongrade::scaling {
 
-// The size that the operator gave each pool, kept in the platform's store: a host that becomes the
-// holder of the duty later sees endpoints that earlier holders ordered.
+// The size that the operator gave each pool, kept in the platform's store: a later lease holder
+// can't derive it, as it also sees the endpoints that earlier holders ordered.
 class BaselineStore
 {
 public:
     enum class Outcome {
         Stored,
         Missing,
-        Unknown, // no answer, or none that shows it
+        Unknown, // no answer, or one without the size
     };
-    // The size as the store holds it, with Stored.
+    // Receives the stored size, with Stored.
     using Done = std::function<void(Outcome, int)>;
 
     virtual ~BaselineStore() = default;
     virtual void read(const units::PoolName &pool, Done done) = 0;
-    // Writes the pool's size, or reads the one that is there.
+    // Creates the pool's size, or reads the existing one.
     virtual void createOrRead(const units::PoolName &pool, int endpoints, Done done) = 0;
-    // Replaces the pool's size.
     virtual void replace(const units::PoolName &pool, int endpoints, Done done) = 0;
 };
 
--- a/include/monsoongrade/scaling/poolautoscaler.h
+++ b/include/monsoongrade/scaling/poolautoscaler.h
@@ -14,9 +14,9 @@
 
 namespace monsoongrade::scaling {
 
-// The duty of ordering endpoints: compares what each pool has with what the policy wants and orders
-// the difference, more at once and fewer only after a while. Remembers nothing that a new holder
-// would need: what is there stands in the platform's store.
+// The duty of scaling pools: compares the endpoints of each pool with the policy's decision and
+// orders the difference from the platform, scaling up at once and down only after a delay. Keeps no
+// state that a new lease holder would need, as the endpoints are listed in the platform's store.
 class PoolAutoscaler : public duties::Duty
 {
 public:
@@ -25,47 +25,47 @@
                    const units::Clock &clock);
 
     void act(duties::FencingToken token) override;
-    bool hasOpenCall() const override { return isOrdering_; }
+    bool hasOpenCall() const override { return isOrderCallOpen_; }
 
 private:
-    // The endpoints of one kind in one domain, for which orders are given.
-    struct Subject
+    // State of the orders for one kind of endpoint in one domain.
+    struct OrderState
     {
-        std::optional<int> ordered; // the last order that the platform accepted from this host
+        std::optional<int> ordered; // by the last order of this host that the platform accepted
         units::TimePoint orderedAt;
-        std::optional<units::TimePoint> fewerWantedSince;
-        units::TimePoint callAgainAt{};
+        std::optional<units::TimePoint> shrinkWantedSince;
+        units::TimePoint retryAt{};
     };
-    using SubjectKey = std::pair<units::FailureDomain, bool>; // and whether preemptible
+    using DomainAndKind = std::pair<units::FailureDomain, bool>; // domain, preemptible
 
-    struct Pool
+    struct PoolState
     {
         std::optional<int> baseline;
-        bool isBaselineMissing = false; // the store was asked and holds none
-        // The most endpoints seen, for as long as the baseline is not known.
-        int mostSeen = 0;
-        std::optional<int> preemptibleAtFirst; // before this host ordered any
+        bool isBaselineMissing = false; // the store has none
+        // Maximum number of endpoints seen, without preemptible ones that this host ordered.
+        int maxSeen = 0;
+        std::optional<int> initialPreemptible; // before the first order of this host
         units::TimePoint firstSeenAt{};
-        units::TimePoint mostSeenAt{};
-        std::map<SubjectKey, Subject> subjects;
-        std::map<units::FailureDomain, units::TimePoint> withoutPreemptibleUntil;
+        units::TimePoint maxSeenAt{};
+        std::map<DomainAndKind, OrderState> orders;
+        std::map<units::FailureDomain, units::TimePoint> preemptibleUnavailableUntil;
     };
 
-    void askBaseline(const ScaledPool &scaled, Pool &pool);
-    static void countSeen(const ScaledPool &scaled, Pool &pool, units::TimePoint now);
-    // Endpoints that the operator added later count as well.
-    void raiseBaseline(const ScaledPool &scaled, Pool &pool);
-    BaselineStore::Done baselineDone(const units::PoolName &name);
+    void fetchBaseline(const ScaledPool &scaled, PoolState &pool);
+    static void updateMaxSeen(const ScaledPool &scaled, PoolState &pool, units::TimePoint now);
+    // Raises the baseline to include endpoints that the operator added later.
+    void raiseBaseline(const ScaledPool &scaled, PoolState &pool);
+    BaselineStore::Done baselineCallback(const units::PoolName &name);
     void onBaseline(const units::PoolName &name, BaselineStore::Outcome outcome, int endpoints);
-    // True if an order was sent.
-    bool orderOne(const ScaledPool &scaled, Pool &pool, duties::FencingToken token);
-    void notePreemption(const ScaledPool &scaled, Pool &pool);
-    bool isDue(const ScaledPool &scaled, Subject &subject, int wanted, int ready);
-    static int neededOf(const Pool &pool);
-    void send(const ScaledPool &scaled, const SubjectKey &key, int wanted, int ready,
+    // Sends at most one order; returns true if it did.
+    bool orderNext(const ScaledPool &scaled, PoolState &pool, duties::FencingToken token);
+    void detectPreemption(const ScaledPool &scaled, PoolState &pool);
+    bool isDue(const ScaledPool &scaled, OrderState &state, int wanted, int ready);
+    static int neededEndpoints(const PoolState &pool);
+    void send(const ScaledPool &scaled, const DomainAndKind &key, int wanted, int ready,
               duties::FencingToken token);
     void onOutcome(const duties::WorkerOrder &order, duties::CallOutcome outcome);
-    void noteGauges(const ScaledPool &scaled, const PoolSize &size);
+    void updateGauges(const ScaledPool &scaled, const PoolSize &size);
 
     const ScaledPools &pools_;
     const SizingPolicy &policy_;
@@ -73,12 +73,12 @@
     duties::DutyPlatform &platform_;
     observability::Metrics &metrics_;
     const units::Clock &clock_;
-    std::map<units::PoolName, Pool> known_;
-    duties::FencingToken heldToken_;
+    std::map<units::PoolName, PoolState> poolStates_;
+    duties::FencingToken lastToken_;
     units::TimePoint mayDecideFrom_{};
-    units::TimePoint askBaselineAgainAt_{};
-    bool isOrdering_ = false;
-    bool isAskingBaseline_ = false;
+    units::TimePoint baselineRetryAt_{};
+    bool isOrderCallOpen_ = false;
+    bool isBaselineCallOpen_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/include/monsoongrade/scaling/preemptiblespread.h
+++ b/include/monsoongrade/scaling/preemptiblespread.h
@@ -5,22 +5,22 @@
 
 namespace monsoongrade::scaling {
 
-// Preemptible endpoints spread evenly over the failure domains, and more of them than the load
-// needs, so that enough are left when the platform takes all of one domain. Ordinary ones only
-// where these are not to be had, or not worth their price.
+// Spreads preemptible endpoints evenly over the failure domains and provisions more than the load
+// needs, so that enough remain when the platform preempts all of one domain. Uses ordinary ones
+// only where preemptible ones are unavailable or not cheaper.
 //
-// The load it answers: bursts that last about as long as a new endpoint takes to start, so that
-// what serves a burst has to be there before it; and the loss of a domain in the middle of one.
+// Bursts last about as long as a new endpoint takes to start, so the capacity for a burst must be
+// running before it, also when a domain is lost in the middle of one.
 class PreemptibleSpread : public SizingPolicy
 {
 public:
     struct Settings
     {
-        // Of the endpoints needed, the share that is left after the loss of any one domain's
-        // preemptible ones, while all domains have some.
-        double leftAfterLoss = 4.0 / 3;
-        // The same in a time in which some domain has none.
-        double leftAfterSecondLoss = 0.5;
+        // Capacity that remains after all preemptible endpoints of any one domain are lost, as a
+        // share of what is needed, while all domains have preemptible endpoints.
+        double capacityShareAfterLoss = 4.0 / 3;
+        // The same while some domain has none.
+        double capacityShareAfterSecondLoss = 0.5;
     };
 
     explicit PreemptibleSpread(Settings settings)
@@ -31,10 +31,11 @@
     PoolSize decide(const SizingInput &input) const override;
 
 private:
-    // Ordinary endpoints that are needed beside so many preemptible ones in each domain.
-    int ordinaryBeside(const std::map<units::FailureDomain, int> &preemptible, int needed) const;
+    // Ordinary endpoints needed in addition to the given preemptible ones.
+    int additionalOrdinary(const std::map<units::FailureDomain, int> &preemptible,
+                           int needed) const;
     std::map<units::FailureDomain, int> spread(const SizingInput &input) const;
-    bool isWorthIt(const SizingInput &input) const;
+    bool isPreemptibleCheaper(const SizingInput &input) const;
 
     Settings settings_;
 };
--- a/include/monsoongrade/scaling/scaledpool.h
+++ b/include/monsoongrade/scaling/scaledpool.h
@@ -8,7 +8,7 @@
 
 namespace monsoongrade::scaling {
 
-// A pool whose number of endpoints may be changed, as this host knows it.
+// A pool that may be scaled, with its endpoints as known to this host.
 struct ScaledPool
 {
     units::PoolName name;
@@ -16,13 +16,13 @@
     PoolEndpointCounts endpointCounts;
 };
 
-// The pools of the configuration in force.
+// The scaled pools of the active configuration.
 class ScaledPools
 {
 public:
     virtual ~ScaledPools() = default;
     virtual std::vector<ScaledPool> pools() const = 0;
-    // What is listed here is recent; entries may be missing or outdated otherwise.
+    // False while entries of the list may be missing or outdated.
     virtual bool isCurrent() const = 0;
 };
 
--- a/include/monsoongrade/scaling/sizingpolicy.h
+++ b/include/monsoongrade/scaling/sizingpolicy.h
@@ -9,7 +9,7 @@
 
 namespace monsoongrade::scaling {
 
-// Endpoints wanted in one failure domain.
+// Desired endpoints in one failure domain.
 struct DomainSize
 {
     int ordinary = 0;
@@ -23,19 +23,19 @@
 
 using PoolSize = std::map<units::FailureDomain, DomainSize>;
 
-// What a decision on the size of a pool is based on.
+// Input of a decision on the size of a pool.
 struct SizingInput
 {
     routing::PoolScaling scaling;
     PoolEndpointCounts endpointCounts;
-    // Endpoints that the load needs.
+    // Endpoints needed for the load.
     int needed = 0;
-    // Failure domains in which no preemptible endpoint is to be had at the moment.
+    // Failure domains that currently have no preemptible capacity.
     std::set<units::FailureDomain> preemptibleUnavailable;
 };
 
-// Decides how many endpoints of each kind a pool shall have in each failure domain. Knows nothing
-// but its input, so any host decides the same.
+// Decides how many endpoints of each kind a pool should have in each failure domain. Depends only
+// on its input, so all hosts decide the same.
 class SizingPolicy
 {
 public:
--- a/src/duties/dutyhosts.cpp
+++ b/src/duties/dutyhosts.cpp
@@ -19,19 +19,19 @@
 
 std::vector<std::string> usageCollectors(const std::vector<routing::PeerUpdate> &hosts)
 {
-    std::vector<std::string> keepers;
+    std::vector<std::string> collectors;
     std::uint64_t newest = 0;
     for (const routing::PeerUpdate &host : hosts) {
         if (host.dutyToken > newest) {
             newest = host.dutyToken;
-            keepers = {host.ip};
+            collectors = {host.ip};
         }
     }
     for (const std::string &ip : dutyCandidates(hosts)) {
-        if (std::find(keepers.begin(), keepers.end(), ip) == keepers.end())
-            keepers.push_back(ip);
+        if (std::find(collectors.begin(), collectors.end(), ip) == collectors.end())
+            collectors.push_back(ip);
     }
-    return keepers;
+    return collectors;
 }
 
 } // namespace monsoongrade::duties
--- a/src/duties/dutyrunner.cpp
+++ b/src/duties/dutyrunner.cpp
@@ -15,18 +15,19 @@
 
 void DutyRunner::run(bool isCandidate)
 {
-    // A call under way could reach the platform after the first one of the next holder.
+    // The lease is kept while a call is open: the call could reach the platform after the first
+    // one of the next holder.
     if (isStopping_ && !hasOpenCall())
         lease_.release();
-    noteChange();
+    logChange();
     if (!isCalling_) {
         const Lease::Step step = lease_.next(isCandidate, clock_.now());
         if (step.call != Lease::Call::None)
             callStore(step);
     }
     for (Duty *duty : duties_) {
-        // Asked again for each: a duty may take a while.
-        if (!isStopping_ && lease_.mayAct(clock_.now(), MaxCallTime))
+        // Checked for each duty, since running one may take a while.
+        if (!isStopping_ && lease_.isHeldFor(clock_.now(), MaxCallTime))
             duty->act(lease_.token());
     }
 }
@@ -45,19 +46,19 @@
 
 FencingToken DutyRunner::currentToken() const
 {
-    const bool mayAct = !isStopping_ && lease_.mayAct(clock_.now(), units::Duration::zero());
+    const bool mayAct = !isStopping_ && lease_.isHeldFor(clock_.now(), units::Duration::zero());
     return mayAct ? lease_.token() : FencingToken();
 }
 
 void DutyRunner::callStore(const Lease::Step &step)
 {
     isCalling_ = true;
-    const auto done = [this, alive = std::weak_ptr<bool>(alive_)](const LeaseCallResult &answer) {
+    const auto done = [this, alive = std::weak_ptr<bool>(alive_)](const LeaseCallResult &result) {
         if (alive.expired())
             return;
         isCalling_ = false;
-        lease_.onAnswer(answer, clock_.now());
-        noteChange();
+        lease_.onResult(result, clock_.now());
+        logChange();
     };
     switch (step.call) {
     case Lease::Call::None:
@@ -74,17 +75,17 @@
     }
 }
 
-void DutyRunner::noteChange()
+void DutyRunner::logChange()
 {
     const FencingToken token = currentToken();
     if (token == lastToken_)
         return;
     if (lastToken_ != FencingToken()) {
-        const bool isSucceeded = lease_.token() != lastToken_;
+        const bool isTakenOver = lease_.token() != lastToken_;
         observability::log(observability::LogLevel::Info, "duty-lease-lost",
                            {{"token", lastToken_.value()},
                             {"reason",
-                             isSucceeded       ? "taken-over"
+                             isTakenOver       ? "taken-over"
                                  : isStopping_ ? "released"
                                                : "not-renewed"},
                             {"holder", lease_.holder()}});
--- a/src/duties/lease.cpp
+++ b/src/duties/lease.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 
-// The holder renews this often within the duration, so that one lost call costs nothing.
+// Renewals by the holder within the lease's duration; several, so that one lost call does no harm.
 constexpr int RenewalsInDuration = 3;
-// Candidates read this often within the duration, which bounds how late a lost holder is noticed.
+// Reads by a candidate within the lease's duration; bounds the delay in noticing a lost holder.
 constexpr int ReadsInDuration = 6;
-// Pauses after a call that told nothing.
+// Retries within the lease's duration after calls without a result.
 constexpr int RetriesInDuration = 12;
-// Clocks of two hosts may differ in speed by this share of the duration.
-constexpr int ClockShare = 50;
+// The clocks of two hosts may drift apart by 1 / ClockDriftDivisor of the duration.
+constexpr int ClockDriftDivisor = 50;
 
 } // namespace
 
 Lease::Lease(Settings settings, units::TimePoint startedAt)
     : settings_(std::move(settings))
-    // An earlier life of this host may have held the lease until just before.
-    , mayContendFrom_(startedAt + settings_.pauseAfterLoss)
+    // An earlier process run on this host may have held the lease until just now.
+    , mayAcquireFrom_(startedAt + settings_.reacquireDelay)
 {
 }
 
-bool Lease::mayAct(units::TimePoint now, units::Duration within) const
+bool Lease::isHeldFor(units::TimePoint now, units::Duration within) const
 {
     return isOwn() && !isReleasing_ && now + within <= validUntil_;
 }
 
 bool Lease::isFree(units::TimePoint now) const
 {
-    if (now < mayContendFrom_)
+    if (now < mayAcquireFrom_)
         return false;
     return known_->record.holder.empty()
-        || now >= seenAt_ + settings_.duration + settings_.duration / ClockShare;
+        || now >= observedAt_ + settings_.duration + settings_.duration / ClockDriftDivisor;
 }
 
 Lease::Step Lease::next(bool isCandidate, units::TimePoint now)
@@ -61,8 +61,8 @@
 
 Lease::Step Lease::writeStep(Call call, LeaseRecord record, units::TimePoint now)
 {
-    // Never the same as that of an earlier write: one that was executed without an answer would
-    // otherwise be taken for a later one, and the lease for younger than it is.
+    // Differs from every earlier write: a write that was executed without an answer could otherwise
+    // be mistaken for a later one, and the lease would seem valid for too long.
     record.renewal = std::max(known_ ? known_->record.renewal : 0, lastWrite_.renewal) + 1;
     lastWrite_ = record;
     lastWriteAt_ = now;
@@ -70,11 +70,11 @@
     return {call, std::move(record), known_ ? known_->revision : routing::Revision()};
 }
 
-void Lease::onAnswer(const LeaseCallResult &answer, units::TimePoint now)
+void Lease::onResult(const LeaseCallResult &result, units::TimePoint now)
 {
-    switch (answer.outcome) {
+    switch (result.outcome) {
     case LeaseCallResult::Outcome::Stored:
-        observe(answer.stored, now);
+        observe(result.stored, now);
         break;
     case LeaseCallResult::Outcome::Missing:
         isKnownMissing_ = !known_;
@@ -92,13 +92,13 @@
         return;
     const bool wasOwn = isOwn();
     known_ = stored;
-    seenAt_ = now;
+    observedAt_ = now;
     if (isOwn()) {
-        // Only the last write is known to have been sent at a certain time.
+        // The time of sending is known only for the last write.
         if (stored.record == lastWrite_)
             validUntil_ = lastWriteAt_ + settings_.duration;
     } else if (wasOwn) {
-        mayContendFrom_ = std::max(mayContendFrom_, validUntil_ + settings_.pauseAfterLoss);
+        mayAcquireFrom_ = std::max(mayAcquireFrom_, validUntil_ + settings_.reacquireDelay);
     }
 }
 
--- a/src/duties/usageledger.cpp
+++ b/src/duties/usageledger.cpp
@@ -4,22 +4,22 @@
 
 namespace monsoongrade::duties {
 
-UsageLedger::UsageLedger(std::string self)
-    : self_(std::move(self))
+UsageLedger::UsageLedger(std::string sourceId)
+    : sourceId_(std::move(sourceId))
 {
 }
 
 void UsageLedger::increment(WindowNumber window, const units::WorkspaceName &workspace)
 {
-    ++windows_[window][self_][workspace];
+    ++windows_[window][sourceId_][workspace];
     changed_.emplace(window, workspace);
 }
 
-void UsageLedger::merge(const std::string &reporter, const UsageEntry &entry)
+void UsageLedger::merge(const std::string &source, const UsageEntry &entry)
 {
-    if (reporter == self_)
+    if (source == sourceId_)
         return;
-    std::uint64_t &total = windows_[entry.window][reporter][entry.workspace];
+    std::uint64_t &total = windows_[entry.window][source][entry.workspace];
     total = std::max(total, entry.total);
 }
 
@@ -29,29 +29,29 @@
     const auto found = windows_.find(window);
     if (found == windows_.end())
         return counts;
-    for (const auto &[reporter, totals] : found->second) {
+    for (const auto &[source, totals] : found->second) {
         for (const auto &[workspace, total] : totals)
             counts[workspace] += total;
     }
     return counts;
 }
 
-std::vector<UsageEntry> UsageLedger::takeChanged()
+std::vector<UsageEntry> UsageLedger::takeChangedEntries()
 {
     std::vector<UsageEntry> entries;
     entries.reserve(changed_.size());
     for (const auto &[window, workspace] : changed_)
-        entries.push_back({window, workspace, windows_[window][self_][workspace]});
+        entries.push_back({window, workspace, windows_[window][sourceId_][workspace]});
     changed_.clear();
     return entries;
 }
 
-std::vector<UsageEntry> UsageLedger::own() const
+std::vector<UsageEntry> UsageLedger::localCounts() const
 {
     std::vector<UsageEntry> entries;
-    for (const auto &[window, reporters] : windows_) {
-        const auto found = reporters.find(self_);
-        if (found == reporters.end())
+    for (const auto &[window, sources] : windows_) {
+        const auto found = sources.find(sourceId_);
+        if (found == sources.end())
             continue;
         for (const auto &[workspace, total] : found->second)
             entries.push_back({window, workspace, total});
--- a/src/duties/usagepublisher.cpp
+++ b/src/duties/usagepublisher.cpp
@@ -8,7 +8,7 @@
 
 constexpr auto MinInterval = std::chrono::milliseconds(250);
 constexpr auto IntervalPerHost = std::chrono::milliseconds(2);
-constexpr auto TellAllInterval = std::chrono::seconds(1);
+constexpr auto FullUpdateInterval = std::chrono::seconds(1);
 
 } // namespace
 
@@ -22,26 +22,27 @@
     return std::max<units::Duration>(MinInterval, IntervalPerHost * std::int64_t(hosts));
 }
 
-std::vector<UsageUpdate> UsagePublisher::nextUpdates(const std::vector<std::string> &keepers,
+std::vector<UsageUpdate> UsagePublisher::nextUpdates(const std::vector<std::string> &collectors,
                                                      UsageLedger &ledger, units::TimePoint now)
 {
-    if (now >= allToldAt_ + TellAllInterval) {
-        allToldAt_ = now;
-        informed_.clear();
+    if (now >= lastFullUpdateAt_ + FullUpdateInterval) {
+        lastFullUpdateAt_ = now;
+        upToDateCollectors_.clear();
     }
-    const std::vector<UsageEntry> changed = ledger.takeChanged();
-    std::vector<UsageUpdate> news;
-    std::set<std::string> informed;
-    for (const std::string &keeper : keepers) {
-        informed.insert(keeper);
-        if (keeper == ownIp_)
+    const std::vector<UsageEntry> changed = ledger.takeChangedEntries();
+    std::vector<UsageUpdate> updates;
+    std::set<std::string> upToDate;
+    for (const std::string &collector : collectors) {
+        upToDate.insert(collector);
+        if (collector == ownIp_)
             continue;
-        std::vector<UsageEntry> entries = informed_.count(keeper) != 0 ? changed : ledger.own();
+        std::vector<UsageEntry> entries
+            = upToDateCollectors_.count(collector) != 0 ? changed : ledger.localCounts();
         if (!entries.empty())
-            news.push_back({keeper, std::move(entries)});
+            updates.push_back({collector, std::move(entries)});
     }
-    informed_ = std::move(informed);
-    return news;
+    upToDateCollectors_ = std::move(upToDate);
+    return updates;
 }
 
 } // namespace monsoongrade::duties
--- a/src/duties/usagereporter.cpp
+++ b/src/duties/usagereporter.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Until then counts of other hosts may still be on their way: after a window's end, and after this
-// host became the holder, who may just have been named to them as one who keeps counts.
+// Time for counts of other hosts to arrive, both after a window's end and after this host became
+// the lease holder, as other hosts may only just have started to send it their counts.
 constexpr auto SettleTime = std::chrono::milliseconds(1500);
 constexpr auto RetryPause = std::chrono::milliseconds(300);
-// A report that no host would send any more is removed from the store after so many times the
-// time within which it was due: a call that got no answer may still take effect.
-constexpr int KeptDueTimes = 6;
+// Stored reports are kept for this many times the period within which they were due, because a call
+// that got no answer may still take effect.
+constexpr int RetentionFactor = 6;
 
 } // namespace
 
@@ -31,27 +31,27 @@
 void UsageReporter::act(FencingToken token)
 {
     const units::TimePoint now = clock_.now();
-    if (heldToken_ != token) {
-        heldToken_ = token;
-        heldSince_ = now;
+    if (lastToken_ != token) {
+        lastToken_ = token;
+        holderSince_ = now;
     }
-    if (isCalling_ || now < callAgainAt_ || now < *heldSince_ + SettleTime)
+    if (isCalling_ || now < nextCallAt_ || now < *holderSince_ + SettleTime)
         return;
     const auto window = nextWindow(wallTime_.at(now));
     if (!window)
         return;
     isCalling_ = true;
-    if (reports_[*window].fixed)
+    if (reports_[*window].stored)
         send(*window, token);
     else
-        fix(*window);
+        storeReport(*window);
 }
 
-// The oldest window that is over, not yet reported, and whose report is not overdue.
+// Returns the oldest finished window that is not reported yet and whose report is not overdue.
 std::optional<WindowNumber> UsageReporter::nextWindow(WallTime now)
 {
     const WindowNumber oldest = windows_.windowAt(now - windows_.dueWithin);
-    removeOld(oldest);
+    removeExpired(oldest);
     for (WindowNumber window = oldest; windows_.endOf(window) + SettleTime <= now;
          window = WindowNumber(window.value() + 1)) {
         if (!reports_[window].isSent)
@@ -60,10 +60,10 @@
     return std::nullopt;
 }
 
-void UsageReporter::removeOld(WindowNumber oldest)
+void UsageReporter::removeExpired(WindowNumber oldest)
 {
     const WindowNumber keptFrom(oldest.value()
-                                - KeptDueTimes * windows_.dueWithin / windows_.length);
+                                - RetentionFactor * windows_.dueWithin / windows_.length);
     while (!reports_.empty() && reports_.begin()->first < keptFrom) {
         if (reports_.begin()->second.isSent)
             store_.remove(reports_.begin()->first);
@@ -71,17 +71,17 @@
     }
 }
 
-void UsageReporter::fix(WindowNumber window)
+void UsageReporter::storeReport(WindowNumber window)
 {
     const UsageCounts counts = ledger_.totals(window);
     store_.createOrRead(
         window, counts,
-        [this, window, alive = std::weak_ptr<bool>(alive_)](std::optional<UsageCounts> fixed) {
+        [this, window, alive = std::weak_ptr<bool>(alive_)](std::optional<UsageCounts> stored) {
             if (alive.expired())
                 return;
             isCalling_ = false;
-            if (fixed)
-                reports_[window].fixed = std::move(fixed);
+            if (stored)
+                reports_[window].stored = std::move(stored);
             else
                 retryLater();
         });
@@ -89,7 +89,7 @@
 
 void UsageReporter::send(WindowNumber window, FencingToken token)
 {
-    const UsageCounts &counts = *reports_[window].fixed;
+    const UsageCounts &counts = *reports_[window].stored;
     platform_.reportUsage(
         token, window, counts,
         [this, window, token, alive = std::weak_ptr<bool>(alive_)](CallOutcome outcome) {
@@ -100,7 +100,7 @@
             if (outcome != CallOutcome::Accepted)
                 retryLater();
             std::uint64_t requests = 0;
-            for (const auto &[workspace, count] : *reports_[window].fixed)
+            for (const auto &[workspace, count] : *reports_[window].stored)
                 requests += count;
             observability::log(observability::LogLevel::Info, "usage-report-sent",
                                {{"window", window.value()},
@@ -112,7 +112,7 @@
 
 void UsageReporter::retryLater()
 {
-    callAgainAt_ = clock_.now() + RetryPause;
+    nextCallAt_ = clock_.now() + RetryPause;
 }
 
 } // namespace monsoongrade::duties
--- a/src/httpio/channel.cpp
+++ b/src/httpio/channel.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Responses of endpoints carry about 300 bytes of headers; this only bounds a faulty server.
+// Endpoints send about 300 bytes of headers; the limit only guards against a faulty server.
 constexpr std::size_t MaxResponseHeadBytes = 64 * 1024;
 
 } // namespace
@@ -45,9 +45,10 @@
                           });
 }
 
-void Channel::send(std::string head, std::shared_ptr<const std::string> body, ChannelListener &user)
+void Channel::send(std::string head, std::shared_ptr<const std::string> body,
+                   ChannelListener &listener)
 {
-    user_ = &user;
+    listener_ = &listener;
     onUnusable_ = nullptr;
     head_ = std::move(head);
     body_ = std::move(body);
@@ -55,7 +56,7 @@
     sentSomething_ = false;
     receivedSomething_ = false;
     keepAlive_ = true;
-    responseEnded_ = false;
+    isResponseComplete_ = false;
     if (head_.compare(0, 5, "HEAD ") == 0)
         parser_.expectNoBody();
     const std::array<asio::const_buffer, 2> buffers{asio::buffer(head_), asio::buffer(*body_)};
@@ -63,20 +64,20 @@
                       [self = shared_from_this()](const asio::error_code &error, std::size_t sent) {
                           self->sending_ = false;
                           self->sentSomething_ = self->sentSomething_ || sent > 0;
-                          // The reading side reports a break after some bytes have left: an
-                          // early response may still be there to be read.
+                          // Once bytes have been sent, the read side reports the failure, since
+                          // an early response may still be readable.
                           if (error && self->open_ && sent == 0)
                               self->fail(ChannelFailure::NothingSent);
                       });
-    // The write may be under way already; what is not known to be unsent counts as sent.
+    // The write may already be in progress: bytes count as sent unless known to be unsent.
     sentSomething_ = true;
 }
 
 bool Channel::release(std::function<void()> onUnusable)
 {
-    user_ = nullptr;
+    listener_ = nullptr;
     paused_ = false;
-    if (!open_ || sending_ || !keepAlive_ || !responseEnded_ || parser_.failed()) {
+    if (!open_ || sending_ || !keepAlive_ || !isResponseComplete_ || parser_.failed()) {
         close();
         return false;
     }
@@ -88,19 +89,19 @@
 
 void Channel::reset()
 {
-    asio::error_code ignored; // a broken socket has nothing left to send
+    asio::error_code ignored; // fails on a broken socket, which has nothing left to send
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     close();
 }
 
 void Channel::close()
 {
-    user_ = nullptr;
+    listener_ = nullptr;
     onUnusable_ = nullptr;
     if (!open_)
         return;
     open_ = false;
-    asio::error_code ignored; // closing a broken socket fails; it is closed all the same
+    asio::error_code ignored; // the socket is closed even if this fails
     socket_.close(ignored);
 }
 
@@ -150,9 +151,9 @@
 void Channel::parse(std::string_view bytes)
 {
     while (open_ && !bytes.empty()) {
-        if (user_ == nullptr) {
-            // Bytes that no request asked for: a second response to an earlier one. They must
-            // not be taken for the response to the next request.
+        if (listener_ == nullptr) {
+            // Unsolicited bytes, such as a second response to an earlier request, must not be
+            // mistaken for the response to the next request.
             becomeUnusable();
             return;
         }
@@ -165,17 +166,17 @@
     }
 }
 
-void Channel::onClosedByPeer(bool inOrder)
+void Channel::onClosedByPeer(bool isOrderly)
 {
-    if (user_ == nullptr) {
+    if (listener_ == nullptr) {
         becomeUnusable();
         return;
     }
-    // A response without length is complete only if the connection ends in order: a reset may
-    // have cut it anywhere.
-    if (inOrder && parser_.finishAtClose() && user_ == nullptr)
+    // A response without length is complete only after an orderly close: a reset may have
+    // truncated it anywhere.
+    if (isOrderly && parser_.finishAtClose() && listener_ == nullptr)
         return;
-    if (open_ && user_ != nullptr)
+    if (open_ && listener_ != nullptr)
         fail(receivedSomething_   ? ChannelFailure::BrokenInResponse
                  : sentSomething_ ? ChannelFailure::BrokenBeforeResponse
                                   : ChannelFailure::NothingSent);
@@ -191,31 +192,31 @@
 
 void Channel::fail(ChannelFailure failure)
 {
-    ChannelListener *user = user_;
+    ChannelListener *listener = listener_;
     close();
-    if (user != nullptr)
-        user->onChannelFailure(failure);
+    if (listener != nullptr)
+        listener->onChannelFailure(failure);
 }
 
 void Channel::onHead(MessageHead head)
 {
-    responseEnded_ = false;
+    isResponseComplete_ = false;
     keepAlive_ = head.keepAlive;
-    if (user_ != nullptr)
-        user_->onResponseHead(head);
+    if (listener_ != nullptr)
+        listener_->onResponseHead(head);
 }
 
 void Channel::onBody(std::string_view bytes)
 {
-    if (user_ != nullptr)
-        user_->onResponseBody(bytes);
+    if (listener_ != nullptr)
+        listener_->onResponseBody(bytes);
 }
 
 void Channel::onEnd()
 {
-    responseEnded_ = true;
-    if (user_ != nullptr)
-        user_->onResponseEnd();
+    isResponseComplete_ = true;
+    if (listener_ != nullptr)
+        listener_->onResponseEnd();
 }
 
 } // namespace monsoongrade::httpio
--- a/src/httpio/internal/serverconnection.cpp
+++ b/src/httpio/internal/serverconnection.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Bytes of further requests that are kept while one is open. Clients here wait for each response;
-// the bound only keeps a client that does not from filling the memory.
+// Limit of bytes buffered for later requests while one is open. Clients wait for each response;
+// the limit only keeps one that pipelines requests from exhausting the memory.
 constexpr std::size_t MaxUnparsedBytes = 64 * 1024;
-// How long a closed connection still takes and discards bytes: a close with unread bytes becomes
-// a reset, which can destroy the response on its way to the client.
+// How long a half-closed connection still reads and discards bytes: closing a socket with unread
+// bytes sends a reset, on which the client may lose the response.
 constexpr auto LingerTime = std::chrono::seconds(1);
 
 constexpr int StatusBadRequest = 400;
@@ -23,12 +23,12 @@
 constexpr int StatusHeadTooLarge = 431;
 constexpr int StatusUnavailable = 503;
 
-class ConnectionReply : public ResponseWriter
+class ConnectionResponseWriter : public ResponseWriter
 {
 public:
-    ConnectionReply(std::shared_ptr<ServerConnection> connection, std::uint64_t number)
+    ConnectionResponseWriter(std::shared_ptr<ServerConnection> connection, std::uint64_t number)
         : connection_(std::move(connection))
-        , number_(number)
+        , requestNumber_(number)
     {
     }
 
@@ -64,7 +64,7 @@
     void onClientDisconnected(std::function<void()> handler) override
     {
         if (isCurrent())
-            connection_->setOnClientGone(std::move(handler));
+            connection_->setOnClientDisconnected(std::move(handler));
     }
     void onDrained(std::function<void()> handler) override
     {
@@ -73,10 +73,10 @@
     }
 
 private:
-    bool isCurrent() const { return connection_->isCurrent(number_); }
+    bool isCurrent() const { return connection_->isCurrent(requestNumber_); }
 
     std::shared_ptr<ServerConnection> connection_;
-    std::uint64_t number_;
+    std::uint64_t requestNumber_;
 };
 
 } // namespace
@@ -97,13 +97,13 @@
 
 void ServerConnection::closeIfIdle()
 {
-    if (!requestOpen_ && !parser_.insideMessage() && unparsed_.empty() && !writeUnderWay_)
+    if (!requestOpen_ && !parser_.insideMessage() && unparsed_.empty() && !isWriting_)
         close();
 }
 
 void ServerConnection::closeForShutdown()
 {
-    onClientGone_ = nullptr;
+    onClientDisconnected_ = nullptr;
     onDrained_ = nullptr;
     open_ = false;
     server_.timers_.cancel(timeout_);
@@ -151,7 +151,7 @@
         if (taken < bytes.size())
             unparsed_.insert(0, bytes, taken, std::string::npos);
         if (parser_.failed() && !closeAfterWrite_)
-            refuse(parser_.headTooLarge() ? StatusHeadTooLarge : StatusBadRequest);
+            rejectRequest(parser_.headTooLarge() ? StatusHeadTooLarge : StatusBadRequest);
         if (parser_.failed() || closeAfterWrite_)
             return;
         if (!requestOpen_)
@@ -176,16 +176,16 @@
     if (closeAfterWrite_)
         return;
     if (body_.size() + bytes.size() > server_.limits_.maxBodyBytes) {
-        refuse(StatusContentTooLarge);
+        rejectRequest(StatusContentTooLarge);
         return;
     }
     if (server_.bufferedBytes_ + bytes.size() > server_.limits_.maxBufferedBytes) {
-        refuse(StatusUnavailable);
+        rejectRequest(StatusUnavailable);
         return;
     }
     body_.append(bytes);
     server_.bufferedBytes_ += bytes.size();
-    countedBytes_ += bytes.size();
+    bufferedBytes_ += bytes.size();
 }
 
 void ServerConnection::onEnd()
@@ -194,18 +194,19 @@
         return;
     server_.timers_.cancel(timeout_);
     requestOpen_ = true;
-    ++number_;
+    ++requestNumber_;
     ++server_.openRequests_;
     ServerRequest request{std::move(head_), std::make_shared<const std::string>(std::move(body_)),
                           receivedAt_};
     head_ = {};
     body_ = {};
-    server_.handler_(std::move(request),
-                     std::make_shared<ConnectionReply>(shared_from_this(), number_));
+    server_.handler_(
+        std::move(request),
+        std::make_shared<ConnectionResponseWriter>(shared_from_this(), requestNumber_));
 }
 
-// Answers what can't be read as a request and closes: where the next one starts is not known.
-void ServerConnection::refuse(int status)
+// Responds with an error and closes, as the start of the next request is unknown.
+void ServerConnection::rejectRequest(int status)
 {
     closeAfterWrite_ = true;
     pending_ += encodeResponseHead(status, {}, Framing::Length, 0, false);
@@ -226,7 +227,7 @@
     if (requestOpen_ || !open_)
         return;
     if (parser_.insideMessage() && !closeAfterWrite_)
-        refuse(StatusRequestTimeout);
+        rejectRequest(StatusRequestTimeout);
     else
         close();
 }
@@ -272,7 +273,7 @@
 {
     requestOpen_ = false;
     --server_.openRequests_;
-    onClientGone_ = nullptr;
+    onClientDisconnected_ = nullptr;
     onDrained_ = nullptr;
     close();
 }
@@ -281,17 +282,17 @@
 {
     requestOpen_ = false;
     --server_.openRequests_;
-    onClientGone_ = nullptr;
+    onClientDisconnected_ = nullptr;
     onDrained_ = nullptr;
-    server_.bufferedBytes_ -= countedBytes_;
-    countedBytes_ = 0;
+    server_.bufferedBytes_ -= bufferedBytes_;
+    bufferedBytes_ = 0;
     flush();
     if (!open_ || closeAfterWrite_)
         return;
     setTimeout();
     if (!unparsed_.empty()) {
         receivedAt_ = server_.timers_.now();
-        // Posted, so that a handler which answers at once does not recurse through many requests.
+        // Posted, so that a handler that responds at once does not recurse for each request.
         asio::post(socket_.get_executor(), [self = shared_from_this()] {
             self->parse();
             self->read();
@@ -301,9 +302,9 @@
 
 void ServerConnection::flush()
 {
-    if (!open_ || writeUnderWay_ || pending_.empty())
+    if (!open_ || isWriting_ || pending_.empty())
         return;
-    writeUnderWay_ = true;
+    isWriting_ = true;
     writing_.swap(pending_);
     pending_.clear();
     asio::async_write(socket_, asio::buffer(writing_),
@@ -314,7 +315,7 @@
 
 void ServerConnection::onWritten(const asio::error_code &error)
 {
-    writeUnderWay_ = false;
+    isWriting_ = false;
     writing_.clear();
     if (!open_)
         return;
@@ -334,8 +335,8 @@
 
 void ServerConnection::onClientClosed()
 {
-    const auto gone = std::move(onClientGone_);
-    onClientGone_ = nullptr;
+    const auto gone = std::move(onClientDisconnected_);
+    onClientDisconnected_ = nullptr;
     if (requestOpen_) {
         requestOpen_ = false;
         --server_.openRequests_;
@@ -366,10 +367,10 @@
         return;
     open_ = false;
     server_.timers_.cancel(timeout_);
-    server_.bufferedBytes_ -= countedBytes_;
-    countedBytes_ = 0;
+    server_.bufferedBytes_ -= bufferedBytes_;
+    bufferedBytes_ = 0;
     onDrained_ = nullptr;
-    asio::error_code ignored; // closing a broken socket fails; it is closed all the same
+    asio::error_code ignored; // the socket is closed even if this fails
     socket_.close(ignored);
     server_.connections_.erase(shared_from_this());
     server_.accept();
--- a/src/httpio/internal/serverconnection.h
+++ b/src/httpio/internal/serverconnection.h
@@ -10,9 +10,9 @@
 
 namespace monsoongrade::httpio {
 
-// One client connection of a Server: reads requests one after the other, and writes the response
-// to each before it reads the next. It goes on reading while a request is open, to notice that
-// the client has gone.
+// One client connection of a Server. Parses requests one after the other and completes the
+// response to each before it parses the next. Keeps reading from the socket while a request is
+// open, to notice that the client has disconnected.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>,
                          private MessageListener
 {
@@ -20,15 +20,16 @@
     ServerConnection(Server &server, asio::ip::tcp::socket socket);
 
     void start();
-    // The server stops accepting: closes if no request is open or arriving.
+    // Closes if no request is open or arriving, as the server stops accepting.
     void closeIfIdle();
-    // The server is being destroyed.
+    // Closes because the server is being destroyed.
     void closeForShutdown();
 
-    // Used by the reply of the request with this number.
+    // The functions from here to setOnDrained() are for the response writer of the request with
+    // this number.
     bool isCurrent(std::uint64_t request) const
     {
-        return open_ && requestOpen_ && request == number_;
+        return open_ && requestOpen_ && request == requestNumber_;
     }
     void respond(int status, const Headers &headers, std::string_view body);
     void begin(int status, const Headers &headers);
@@ -36,7 +37,10 @@
     void end();
     void abort();
     std::size_t unsentBytes() const { return pending_.size() + writing_.size(); }
-    void setOnClientGone(std::function<void()> handler) { onClientGone_ = std::move(handler); }
+    void setOnClientDisconnected(std::function<void()> handler)
+    {
+        onClientDisconnected_ = std::move(handler);
+    }
     void setOnDrained(std::function<void()> handler) { onDrained_ = std::move(handler); }
 
 private:
@@ -49,7 +53,7 @@
     void read();
     void onRead(const asio::error_code &error, std::size_t count);
     void parse();
-    void refuse(int status);
+    void rejectRequest(int status);
     void setTimeout();
     void onTimeout();
     void flush();
@@ -69,15 +73,15 @@
     std::string body_;
     units::TimePoint receivedAt_;
     Timers::Handle timeout_;
-    std::function<void()> onClientGone_;
+    std::function<void()> onClientDisconnected_;
     std::function<void()> onDrained_;
-    std::string pending_; // waits for the write under way
+    std::string pending_; // to be written after writing_
     std::string writing_;
-    std::uint64_t number_ = 0;
-    std::size_t countedBytes_ = 0;
+    std::uint64_t requestNumber_ = 0;
+    std::size_t bufferedBytes_ = 0;
     bool open_ = true;
     bool reading_ = false;
-    bool writeUnderWay_ = false;
+    bool isWriting_ = false;
     bool requestOpen_ = false;
     bool clientKeepsAlive_ = true;
     bool headRequest_ = false;
--- a/src/httpio/messagehead.cpp
+++ b/src/httpio/messagehead.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// RFC 9110 section 7.6.1, and the two framing headers, which the sender of each hop writes anew.
+// RFC 9110 section 7.6.1, and the two framing headers, which each hop writes itself.
 constexpr std::array<std::string_view, 11> HopByHopNames{
     "connection", "keep-alive",     "proxy-connection",   "proxy-authenticate",
     "te",         "trailer",        "transfer-encoding",  "upgrade",
@@ -41,7 +41,7 @@
     }
 }
 
-std::vector<std::string_view> namedByConnection(const Headers &headers)
+std::vector<std::string_view> connectionOptions(const Headers &headers)
 {
     std::vector<std::string_view> names;
     for (const auto &[name, value] : headers) {
@@ -83,7 +83,7 @@
 
 Headers endToEndHeaders(const Headers &headers)
 {
-    const std::vector<std::string_view> named = namedByConnection(headers);
+    const std::vector<std::string_view> named = connectionOptions(headers);
     const auto matches = [](std::string_view name, const auto &names) {
         return std::any_of(names.begin(), names.end(),
                            [&](std::string_view each) { return sameHeaderName(name, each); });
--- a/src/httpio/messageparser.cpp
+++ b/src/httpio/messageparser.cpp
@@ -12,8 +12,8 @@
 constexpr int FirstFinalStatus = 200;
 constexpr int StatusNoContent = 204;
 constexpr int StatusNotModified = 304;
-// The parser lets spaces into names, and a server behind could read "Content-Length : 3"
-// as another header or as a length.
+// http_parser accepts spaces in names, and an upstream server could interpret
+// "Content-Length : 3" either as a length or as another header.
 bool hasMalformedName(const Headers &headers)
 {
     const std::string_view allowed = "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyz"
@@ -25,7 +25,7 @@
     return false;
 }
 
-// What http_parser reports as length of a message without one.
+// The content_length of http_parser for a message without a length.
 constexpr std::uint64_t NoLength = std::numeric_limits<std::uint64_t>::max();
 
 bool isRequestFramingAmbiguous(const MessageHead &head)
@@ -126,7 +126,7 @@
         return 0;
     }
 
-    // A callback's result other than 0 stops the parser.
+    // Used as a callback's result: a value other than 0 stops the parser.
     int countHeadBytes(std::size_t count)
     {
         headBytes_ += count;
@@ -166,7 +166,7 @@
         head_.status = int(parser_.status_code);
         if (kind_ == MessageKind::Request)
             head_.method = http_method_str(static_cast<http_method>(parser_.method));
-        endsAtClose_ = lacksLength();
+        endsAtClose_ = isDelimitedByClose();
         head_.endsAtClose = endsAtClose_;
         head_.keepAlive = !head_.endsAtClose && http_should_keep_alive(&parser_) != 0;
         const bool hasLength = parser_.content_length != NoLength && parser_.content_length > 0;
@@ -199,8 +199,8 @@
         return 0;
     }
 
-    // A response with a body whose end is only marked by the close of the connection.
-    bool lacksLength() const
+    // True for a response whose body is delimited only by the close of the connection.
+    bool isDelimitedByClose() const
     {
         const bool hasNoBody = noBody_ || parser_.status_code == StatusNoContent
             || parser_.status_code == StatusNotModified;
--- a/src/httpio/server.cpp
+++ b/src/httpio/server.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Waits before the next accept after a failed one, such as one for want of descriptors: an
-// immediate retry would fail again and take the whole processor.
+// Delay after a failed accept, for example when out of file descriptors: an immediate retry would
+// fail again and use up the processor.
 constexpr auto AcceptRetryDelay = std::chrono::milliseconds(50);
 
 } // namespace
--- a/src/httpio/socketoptions.cpp
+++ b/src/httpio/socketoptions.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-// A silent peer is noticed after idle + count x interval, 3 s, about the time that a host needs
-// to be taken for lost; probes of idle connections cost one packet a second.
+// A silent peer is detected after idle + count x interval = 3 s, about the time after which a host
+// is considered lost. Probing an idle connection costs one packet a second.
 constexpr int KeepAliveIdleSeconds = 1;
 constexpr int KeepAliveIntervalSeconds = 1;
 constexpr int KeepAliveProbes = 2;
-// Sent bytes that nobody acknowledges for this long break the connection. Round trips take a few
-// milliseconds and a lost packet is sent again after about 0.2 to 1 s.
+// A connection is closed if sent bytes are not acknowledged for this long. Round trips take a few
+// milliseconds, and a lost packet is retransmitted after about 0.2 to 1 s.
 constexpr unsigned UserTimeoutMs = 3000;
 
 void set(asio::ip::tcp::socket &socket, int level, int option, int value)
 {
-    // A system that lacks an option works on without it; the request timeouts remain.
+    // Errors are ignored: without an option, the request timeouts still apply.
     setsockopt(socket.native_handle(), level, option, &value, sizeof(value));
 }
 
--- a/src/httpio/sseeventbuffer.cpp
+++ b/src/httpio/sseeventbuffer.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr std::size_t MaxEventKept = 256 * 1024;
+constexpr std::size_t MaxEventBytes = 256 * 1024;
 
-// Length up to and with the last blank line; 0 where there is none.
-std::size_t lengthOfWholeEvents(const std::string &bytes)
+// Returns the length up to and including the last blank line; 0 if there is none.
+std::size_t completeEventsLength(const std::string &bytes)
 {
     std::size_t length = 0;
     for (const std::string_view blank : {"\n\n", "\n\r\n"}) {
@@ -25,25 +25,25 @@
 
 std::string SseEventBuffer::feed(std::string_view bytes)
 {
-    rest_.append(bytes);
-    const std::size_t length = lengthOfWholeEvents(rest_);
-    if (length == 0 && rest_.size() > MaxEventKept) {
+    buffer_.append(bytes);
+    const std::size_t length = completeEventsLength(buffer_);
+    if (length == 0 && buffer_.size() > MaxEventBytes) {
         insideOversized_ = true;
-        // The last bytes may be the first half of the blank line.
-        const std::string kept = rest_.substr(rest_.size() - 2);
-        rest_.resize(rest_.size() - 2);
-        return std::exchange(rest_, kept);
+        // The last two bytes may be the start of the blank line.
+        const std::string kept = buffer_.substr(buffer_.size() - 2);
+        buffer_.resize(buffer_.size() - 2);
+        return std::exchange(buffer_, kept);
     }
     if (length > 0)
         insideOversized_ = false;
-    std::string whole = rest_.substr(0, length);
-    rest_.erase(0, length);
-    return whole;
+    std::string events = buffer_.substr(0, length);
+    buffer_.erase(0, length);
+    return events;
 }
 
 std::string SseEventBuffer::takePartialEvent()
 {
-    return std::exchange(rest_, {});
+    return std::exchange(buffer_, {});
 }
 
 } // namespace monsoongrade::httpio
--- a/src/scaling/poolautoscaler.cpp
+++ b/src/scaling/poolautoscaler.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-// Fewer endpoints are ordered only when fewer have been wanted for this long: an entry of the list
-// may be missing for a moment.
+// A pool is scaled down only after fewer endpoints have been wanted for this long, because an entry
+// may be missing from the list for a moment.
 constexpr auto ShrinkDelay = std::chrono::seconds(1);
-// Added to the time that an endpoint takes to start, before an order counts as not served.
-constexpr auto BootSlack = std::chrono::seconds(2);
+// Added to the boot time of an endpoint before an order counts as not fulfilled.
+constexpr auto BootTimeMargin = std::chrono::seconds(2);
 constexpr auto RetryPause = std::chrono::milliseconds(500);
-// Until preemptible endpoints are asked for again where none were to be had.
+// Delay before the next order where the platform had no capacity.
 constexpr auto UnavailablePause = std::chrono::seconds(3);
-// Endpoints that start together, or whose entries lapsed while the store was away, are all listed
-// after this time.
+// Time until endpoints that started together, or whose entries expired while the store was
+// unavailable, are all listed.
 constexpr auto ListSettleTime = std::chrono::seconds(3);
 
-std::string labelsOf(const ScaledPool &scaled, const units::FailureDomain &domain,
-                     const std::string &kind)
+std::string metricLabels(const ScaledPool &scaled, const units::FailureDomain &domain,
+                         const std::string &kind)
 {
     return observability::label("pool", scaled.name.value()) + ","
         + observability::label("domain", domain.value()) + "," + observability::label("kind", kind);
@@ -44,102 +44,102 @@
 void PoolAutoscaler::act(duties::FencingToken token)
 {
     const units::TimePoint now = clock_.now();
-    if (heldToken_ != token) {
-        // Orders of others may have followed those of an earlier time as the holder.
-        heldToken_ = token;
-        known_.clear();
+    if (lastToken_ != token) {
+        // Since this host last held the lease, other holders may have sent orders.
+        lastToken_ = token;
+        poolStates_.clear();
     }
     if (!pools_.isCurrent()) {
         mayDecideFrom_ = now + ListSettleTime;
         return;
     }
-    if (isOrdering_ || now < mayDecideFrom_)
+    if (isOrderCallOpen_ || now < mayDecideFrom_)
         return;
     for (const ScaledPool &scaled : pools_.pools()) {
-        Pool &pool = known_[scaled.name];
+        PoolState &pool = poolStates_[scaled.name];
         if (pool.baseline)
             raiseBaseline(scaled, pool);
         else
-            askBaseline(scaled, pool);
-        const bool isSizeKnown = pool.baseline || pool.mostSeen > 0;
-        if (isSizeKnown && orderOne(scaled, pool, token))
+            fetchBaseline(scaled, pool);
+        const bool isSizeKnown = pool.baseline || pool.maxSeen > 0;
+        if (isSizeKnown && orderNext(scaled, pool, token))
             return;
     }
 }
 
-// Until the size that the operator gave the pool is known, all that were seen.
-int PoolAutoscaler::neededOf(const Pool &pool)
+// While the baseline is unknown, all endpoints seen so far count as needed.
+int PoolAutoscaler::neededEndpoints(const PoolState &pool)
 {
-    return std::max(pool.baseline.value_or(0), pool.mostSeen);
+    return std::max(pool.baseline.value_or(0), pool.maxSeen);
 }
 
-void PoolAutoscaler::askBaseline(const ScaledPool &scaled, Pool &pool)
+void PoolAutoscaler::fetchBaseline(const ScaledPool &scaled, PoolState &pool)
 {
     const units::TimePoint now = clock_.now();
-    if (isAskingBaseline_ || now < askBaselineAgainAt_)
+    if (isBaselineCallOpen_ || now < baselineRetryAt_)
         return;
     if (!pool.isBaselineMissing) {
-        isAskingBaseline_ = true;
-        baselines_.read(scaled.name, baselineDone(scaled.name));
+        isBaselineCallOpen_ = true;
+        baselines_.read(scaled.name, baselineCallback(scaled.name));
         return;
     }
-    countSeen(scaled, pool, now);
-    const bool isKnownFleetWide = pool.mostSeen > 0 && now >= pool.mostSeenAt + ListSettleTime
-        && now >= pool.firstSeenAt + scaled.scaling.bootTime + units::Duration(BootSlack);
-    if (isKnownFleetWide) {
-        isAskingBaseline_ = true;
-        baselines_.createOrRead(scaled.name, pool.mostSeen, baselineDone(scaled.name));
+    updateMaxSeen(scaled, pool, now);
+    const bool isSettled = pool.maxSeen > 0 && now >= pool.maxSeenAt + ListSettleTime
+        && now >= pool.firstSeenAt + scaled.scaling.bootTime + units::Duration(BootTimeMargin);
+    if (isSettled) {
+        isBaselineCallOpen_ = true;
+        baselines_.createOrRead(scaled.name, pool.maxSeen, baselineCallback(scaled.name));
     }
 }
 
-BaselineStore::Done PoolAutoscaler::baselineDone(const units::PoolName &name)
+BaselineStore::Done PoolAutoscaler::baselineCallback(const units::PoolName &name)
 {
     return [this, name, alive = std::weak_ptr<bool>(alive_)](BaselineStore::Outcome outcome,
                                                              int endpoints) {
         if (alive.expired())
             return;
-        isAskingBaseline_ = false;
+        isBaselineCallOpen_ = false;
         onBaseline(name, outcome, endpoints);
     };
 }
 
-// No more ordinary endpoints than the baseline are ever ordered, so those beyond it are the
-// operator's. Counts at once: a pool must not shrink to a size that was read too early.
-void PoolAutoscaler::raiseBaseline(const ScaledPool &scaled, Pool &pool)
+// This duty never orders more ordinary endpoints than the baseline, so the operator added those
+// beyond it. Takes effect at once, so that a baseline read too early can't shrink the pool.
+void PoolAutoscaler::raiseBaseline(const ScaledPool &scaled, PoolState &pool)
 {
     int ordinary = 0;
-    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains)
-        ordinary += endpointCounts.ordinary.ready;
-    pool.mostSeen = std::max(pool.mostSeen, ordinary);
-    if (pool.mostSeen <= *pool.baseline || isAskingBaseline_ || clock_.now() < askBaselineAgainAt_)
+    for (const auto &[domain, counts] : scaled.endpointCounts.domains)
+        ordinary += counts.ordinary.ready;
+    pool.maxSeen = std::max(pool.maxSeen, ordinary);
+    if (pool.maxSeen <= *pool.baseline || isBaselineCallOpen_ || clock_.now() < baselineRetryAt_)
         return;
-    isAskingBaseline_ = true;
-    baselines_.replace(scaled.name, pool.mostSeen, baselineDone(scaled.name));
+    isBaselineCallOpen_ = true;
+    baselines_.replace(scaled.name, pool.maxSeen, baselineCallback(scaled.name));
 }
 
-void PoolAutoscaler::countSeen(const ScaledPool &scaled, Pool &pool, units::TimePoint now)
+void PoolAutoscaler::updateMaxSeen(const ScaledPool &scaled, PoolState &pool, units::TimePoint now)
 {
     int ordinary = 0;
     int preemptible = 0;
-    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains) {
-        ordinary += endpointCounts.ordinary.ready;
-        preemptible += endpointCounts.preemptible.ready;
+    for (const auto &[domain, counts] : scaled.endpointCounts.domains) {
+        ordinary += counts.ordinary.ready;
+        preemptible += counts.preemptible.ready;
     }
-    if (!pool.preemptibleAtFirst)
-        pool.preemptibleAtFirst = preemptible;
-    const int seen = ordinary + std::min(preemptible, *pool.preemptibleAtFirst);
-    if (pool.mostSeen == 0)
+    if (!pool.initialPreemptible)
+        pool.initialPreemptible = preemptible;
+    const int seen = ordinary + std::min(preemptible, *pool.initialPreemptible);
+    if (pool.maxSeen == 0)
         pool.firstSeenAt = now;
-    if (seen > pool.mostSeen) {
-        pool.mostSeen = seen;
-        pool.mostSeenAt = now;
+    if (seen > pool.maxSeen) {
+        pool.maxSeen = seen;
+        pool.maxSeenAt = now;
     }
 }
 
 void PoolAutoscaler::onBaseline(const units::PoolName &name, BaselineStore::Outcome outcome,
                                 int endpoints)
 {
-    Pool &pool = known_[name];
+    PoolState &pool = poolStates_[name];
     switch (outcome) {
     case BaselineStore::Outcome::Stored:
         pool.baseline = endpoints;
@@ -150,89 +150,88 @@
         pool.isBaselineMissing = true;
         break;
     case BaselineStore::Outcome::Unknown:
-        askBaselineAgainAt_ = clock_.now() + RetryPause;
+        baselineRetryAt_ = clock_.now() + RetryPause;
         break;
     }
 }
 
-// A domain whose preemptible endpoints are all leaving was preempted as a whole.
-void PoolAutoscaler::notePreemption(const ScaledPool &scaled, Pool &pool)
+// If all preemptible endpoints of a domain are draining, the whole domain was preempted.
+void PoolAutoscaler::detectPreemption(const ScaledPool &scaled, PoolState &pool)
 {
-    for (const auto &[domain, endpointCounts] : scaled.endpointCounts.domains) {
-        if (endpointCounts.preemptible.ready > 0)
-            pool.withoutPreemptibleUntil.erase(domain);
-        else if (endpointCounts.preemptible.draining > 0)
-            pool.withoutPreemptibleUntil[domain] = clock_.now() + UnavailablePause;
+    for (const auto &[domain, counts] : scaled.endpointCounts.domains) {
+        if (counts.preemptible.ready > 0)
+            pool.preemptibleUnavailableUntil.erase(domain);
+        else if (counts.preemptible.draining > 0)
+            pool.preemptibleUnavailableUntil[domain] = clock_.now() + UnavailablePause;
     }
 }
 
-bool PoolAutoscaler::orderOne(const ScaledPool &scaled, Pool &pool, duties::FencingToken token)
+bool PoolAutoscaler::orderNext(const ScaledPool &scaled, PoolState &pool,
+                               duties::FencingToken token)
 {
     const units::TimePoint now = clock_.now();
-    notePreemption(scaled, pool);
-    SizingInput input{scaled.scaling, scaled.endpointCounts, neededOf(pool), {}};
-    for (const auto &[domain, until] : pool.withoutPreemptibleUntil) {
+    detectPreemption(scaled, pool);
+    SizingInput input{scaled.scaling, scaled.endpointCounts, neededEndpoints(pool), {}};
+    for (const auto &[domain, until] : pool.preemptibleUnavailableUntil) {
         if (now < until)
             input.preemptibleUnavailable.insert(domain);
     }
     const PoolSize size = policy_.decide(input);
-    noteGauges(scaled, size);
+    updateGauges(scaled, size);
     for (const auto &[domain, wanted] : size) {
         const auto found = scaled.endpointCounts.domains.find(domain);
-        const DomainEndpointCounts endpointCounts
+        const DomainEndpointCounts counts
             = found == scaled.endpointCounts.domains.end() ? DomainEndpointCounts() : found->second;
-        // Where none are to be had there is nothing to cancel either.
+        // Without preemptible capacity in the domain there is no order to send or to cancel.
         if (input.preemptibleUnavailable.count(domain) == 0
-            && isDue(scaled, pool.subjects[{domain, true}], wanted.preemptible,
-                     endpointCounts.preemptible.ready)) {
-            send(scaled, {domain, true}, wanted.preemptible, endpointCounts.preemptible.ready,
-                 token);
+            && isDue(scaled, pool.orders[{domain, true}], wanted.preemptible,
+                     counts.preemptible.ready)) {
+            send(scaled, {domain, true}, wanted.preemptible, counts.preemptible.ready, token);
             return true;
         }
-        if (isDue(scaled, pool.subjects[{domain, false}], wanted.ordinary,
-                  endpointCounts.ordinary.ready)) {
-            send(scaled, {domain, false}, wanted.ordinary, endpointCounts.ordinary.ready, token);
+        if (isDue(scaled, pool.orders[{domain, false}], wanted.ordinary, counts.ordinary.ready)) {
+            send(scaled, {domain, false}, wanted.ordinary, counts.ordinary.ready, token);
             return true;
         }
     }
     return false;
 }
 
-bool PoolAutoscaler::isDue(const ScaledPool &scaled, Subject &subject, int wanted, int ready)
+bool PoolAutoscaler::isDue(const ScaledPool &scaled, OrderState &state, int wanted, int ready)
 {
     const units::TimePoint now = clock_.now();
-    const bool mayShrink = known_[scaled.name].baseline.has_value();
-    const int inForce = subject.ordered.value_or(ready);
-    if (wanted >= inForce)
-        subject.fewerWantedSince.reset();
-    if (now < subject.callAgainAt)
+    const bool mayShrink = poolStates_[scaled.name].baseline.has_value();
+    const int currentTarget = state.ordered.value_or(ready);
+    if (wanted >= currentTarget)
+        state.shrinkWantedSince.reset();
+    if (now < state.retryAt)
         return false;
-    if (wanted > inForce)
+    if (wanted > currentTarget)
         return true;
-    const units::Duration startTime = scaled.scaling.bootTime + units::Duration(BootSlack);
-    if (wanted == inForce)
-        return subject.ordered && ready < wanted && now >= subject.orderedAt + startTime;
+    const units::Duration startTime = scaled.scaling.bootTime + units::Duration(BootTimeMargin);
+    if (wanted == currentTarget)
+        return state.ordered && ready < wanted && now >= state.orderedAt + startTime;
     if (!mayShrink)
         return false;
-    if (!subject.fewerWantedSince)
-        subject.fewerWantedSince = now;
-    // What was ordered here has to start first.
-    const units::Duration delay = subject.ordered ? startTime : units::Duration(ShrinkDelay);
-    return now >= *subject.fewerWantedSince + delay;
+    if (!state.shrinkWantedSince)
+        state.shrinkWantedSince = now;
+    // Endpoints that this host ordered get the time to start first.
+    const units::Duration delay = state.ordered ? startTime : units::Duration(ShrinkDelay);
+    return now >= *state.shrinkWantedSince + delay;
 }
 
-void PoolAutoscaler::send(const ScaledPool &scaled, const SubjectKey &key, int wanted, int ready,
+void PoolAutoscaler::send(const ScaledPool &scaled, const DomainAndKind &key, int wanted, int ready,
                           duties::FencingToken token)
 {
     const duties::WorkerOrder order{scaled.name, key.first, key.second, wanted};
-    isOrdering_ = true;
+    isOrderCallOpen_ = true;
     platform_.orderWorkers(
         token, order,
-        [this, order, ready, token, needed = neededOf(known_[scaled.name]),
+        [this, order, ready, token, needed = neededEndpoints(poolStates_[scaled.name]),
          alive = std::weak_ptr<bool>(alive_)](duties::CallOutcome outcome) {
             if (alive.expired())
                 return;
-            isOrdering_ = false;
+            isOrderCallOpen_ = false;
             observability::log(observability::LogLevel::Info, "workers-ordered",
                                {{"pool", order.pool.value()},
                                 {"domain", order.domain.value()},
@@ -251,41 +250,41 @@
 void PoolAutoscaler::onOutcome(const duties::WorkerOrder &order, duties::CallOutcome outcome)
 {
     const units::TimePoint now = clock_.now();
-    Pool &pool = known_[order.pool];
-    Subject &subject = pool.subjects[{order.domain, order.preemptible}];
+    PoolState &pool = poolStates_[order.pool];
+    OrderState &state = pool.orders[{order.domain, order.preemptible}];
     switch (outcome) {
     case duties::CallOutcome::Accepted:
-        subject.ordered = order.desired;
-        subject.orderedAt = now;
-        subject.fewerWantedSince.reset();
+        state.ordered = order.desired;
+        state.orderedAt = now;
+        state.shrinkWantedSince.reset();
         break;
     case duties::CallOutcome::Unavailable:
-        subject.callAgainAt = now + UnavailablePause;
+        state.retryAt = now + UnavailablePause;
         if (order.preemptible)
-            pool.withoutPreemptibleUntil[order.domain] = subject.callAgainAt;
+            pool.preemptibleUnavailableUntil[order.domain] = state.retryAt;
         break;
     case duties::CallOutcome::Rejected:
     case duties::CallOutcome::NoAnswer:
-        subject.callAgainAt = now + RetryPause;
+        state.retryAt = now + RetryPause;
         break;
     }
 }
 
-void PoolAutoscaler::noteGauges(const ScaledPool &scaled, const PoolSize &size)
+void PoolAutoscaler::updateGauges(const ScaledPool &scaled, const PoolSize &size)
 {
-    const auto note = [&](const units::FailureDomain &domain, const std::string &kind,
-                          const EndpointCounts &endpointCounts, int desired) {
-        const std::string labels = labelsOf(scaled, domain, kind);
+    const auto setGauges = [&](const units::FailureDomain &domain, const std::string &kind,
+                               const EndpointCounts &counts, int desired) {
+        const std::string labels = metricLabels(scaled, domain, kind);
         metrics_.set("monsoongrade_gateway_workers_desired", labels, desired);
-        metrics_.set("monsoongrade_gateway_workers_ready", labels, endpointCounts.ready);
-        metrics_.set("monsoongrade_gateway_workers_draining", labels, endpointCounts.draining);
+        metrics_.set("monsoongrade_gateway_workers_ready", labels, counts.ready);
+        metrics_.set("monsoongrade_gateway_workers_draining", labels, counts.draining);
     };
     for (const auto &[domain, wanted] : size) {
         const auto found = scaled.endpointCounts.domains.find(domain);
-        const DomainEndpointCounts endpointCounts
+        const DomainEndpointCounts counts
             = found == scaled.endpointCounts.domains.end() ? DomainEndpointCounts() : found->second;
-        note(domain, "ordinary", endpointCounts.ordinary, wanted.ordinary);
-        note(domain, "preemptible", endpointCounts.preemptible, wanted.preemptible);
+        setGauges(domain, "ordinary", counts.ordinary, wanted.ordinary);
+        setGauges(domain, "preemptible", counts.preemptible, wanted.preemptible);
     }
 }
 
--- a/src/scaling/poolendpointcounts.cpp
+++ b/src/scaling/poolendpointcounts.cpp
@@ -5,20 +5,20 @@
 int PoolEndpointCounts::ready() const
 {
     int count = 0;
-    for (const auto &[domain, endpointCounts] : domains)
-        count += endpointCounts.ordinary.ready + endpointCounts.preemptible.ready;
+    for (const auto &[domain, counts] : domains)
+        count += counts.ordinary.ready + counts.preemptible.ready;
     return count;
 }
 
 PoolEndpointCounts countEndpoints(const std::vector<routing::DiscoveredEndpoint> &endpoints)
 {
-    PoolEndpointCounts endpointCounts;
+    PoolEndpointCounts counts;
     for (const routing::DiscoveredEndpoint &endpoint : endpoints) {
-        DomainEndpointCounts &domain = endpointCounts.domains[endpoint.failureDomain];
+        DomainEndpointCounts &domain = counts.domains[endpoint.failureDomain];
         EndpointCounts &kind = endpoint.preemptible ? domain.preemptible : domain.ordinary;
         ++(endpoint.draining ? kind.draining : kind.ready);
     }
-    return endpointCounts;
+    return counts;
 }
 
 } // namespace monsoongrade::scaling
--- a/src/scaling/preemptiblespread.cpp
+++ b/src/scaling/preemptiblespread.cpp
@@ -12,7 +12,7 @@
 
 int roundedUp(double value)
 {
-    // A product that is whole but for the last bit of a double stays whole.
+    // Keeps a floating-point error from rounding an integral product up by one.
     constexpr double Slack = 1e-9;
     return int(std::ceil(value - Slack));
 }
@@ -33,8 +33,8 @@
     return largest;
 }
 
-// The domains, cheapest first.
-std::vector<units::FailureDomain> byPrice(const routing::PoolScaling &scaling)
+// Returns the domains, cheapest first.
+std::vector<units::FailureDomain> domainsByPrice(const routing::PoolScaling &scaling)
 {
     std::vector<std::pair<double, units::FailureDomain>> priced;
     for (const auto &[domain, price] : scaling.prices)
@@ -47,26 +47,25 @@
     return domains;
 }
 
-// Spreads ordinary endpoints: those that are there stay, those of the dearest domains go first and
-// new ones come to the cheapest.
+// Distributes ordinary endpoints over the domains. Existing ones stay where possible; removals
+// start in the most expensive domain and additions in the cheapest.
 ByDomain placeOrdinary(const SizingInput &input, const ByDomain &preemptible, int wanted)
 {
-    const std::vector<units::FailureDomain> domains = byPrice(input.scaling);
+    const std::vector<units::FailureDomain> domains = domainsByPrice(input.scaling);
     ByDomain counts;
     for (const units::FailureDomain &domain : domains) {
-        const auto endpointCounts = input.endpointCounts.domains.find(domain);
-        const int present = endpointCounts == input.endpointCounts.domains.end()
-            ? 0
-            : endpointCounts->second.ordinary.ready;
-        const int most = input.scaling.maxPerDomain - preemptible.at(domain);
-        counts[domain] = std::max(std::min(present, most), input.scaling.minPerDomain);
+        const auto found = input.endpointCounts.domains.find(domain);
+        const int present
+            = found == input.endpointCounts.domains.end() ? 0 : found->second.ordinary.ready;
+        const int maxOrdinary = input.scaling.maxPerDomain - preemptible.at(domain);
+        counts[domain] = std::max(std::min(present, maxOrdinary), input.scaling.minPerDomain);
     }
     int surplus = sumOf(counts) - wanted;
     for (auto domain = domains.rbegin(); domain != domains.rend() && surplus > 0; ++domain) {
-        const int taken
+        const int removed
             = std::min(surplus, std::max(0, counts[*domain] - input.scaling.minPerDomain));
-        counts[*domain] -= taken;
-        surplus -= taken;
+        counts[*domain] -= removed;
+        surplus -= removed;
     }
     for (auto domain = domains.begin(); domain != domains.end() && surplus < 0; ++domain) {
         const int room = input.scaling.maxPerDomain - preemptible.at(*domain) - counts[*domain];
@@ -79,49 +78,51 @@
 
 } // namespace
 
-bool PreemptibleSpread::isWorthIt(const SizingInput &input) const
+bool PreemptibleSpread::isPreemptibleCheaper(const SizingInput &input) const
 {
     const auto domains = double(input.scaling.prices.size());
     if (domains < 2)
         return false;
-    const double extra = std::max(1.0, settings_.leftAfterLoss * domains / (domains - 1));
+    const double extra = std::max(1.0, settings_.capacityShareAfterLoss * domains / (domains - 1));
     return extra * input.scaling.preemptiblePrice < 1;
 }
 
-// Preemptible endpoints wanted in each domain, with room left for the ordinary ones that are there.
+// Returns the preemptible endpoints desired in each domain. Leaves room for the existing ordinary
+// ones within the domain's limit.
 ByDomain PreemptibleSpread::spread(const SizingInput &input) const
 {
     ByDomain wanted;
-    int usable = 0;
+    int usableDomains = 0;
     for (const auto &[domain, price] : input.scaling.prices) {
         wanted[domain] = 0;
-        usable += input.preemptibleUnavailable.count(domain) == 0 ? 1 : 0;
+        usableDomains += input.preemptibleUnavailable.count(domain) == 0 ? 1 : 0;
     }
-    if (!isWorthIt(input) || usable == 0)
+    if (!isPreemptibleCheaper(input) || usableDomains == 0)
         return wanted;
-    const double share
-        = usable > 1 ? std::max(settings_.leftAfterLoss / (usable - 1), 1.0 / usable) : 1.0;
-    const int each = roundedUp(share * input.needed);
+    const double share = usableDomains > 1
+        ? std::max(settings_.capacityShareAfterLoss / (usableDomains - 1), 1.0 / usableDomains)
+        : 1.0;
+    const int perDomain = roundedUp(share * input.needed);
     for (auto &[domain, count] : wanted) {
         if (input.preemptibleUnavailable.count(domain) != 0)
             continue;
-        const auto endpointCounts = input.endpointCounts.domains.find(domain);
-        const int ordinary = endpointCounts == input.endpointCounts.domains.end()
+        const auto found = input.endpointCounts.domains.find(domain);
+        const int ordinary = found == input.endpointCounts.domains.end()
             ? 0
-            : endpointCounts->second.ordinary.ready + endpointCounts->second.ordinary.draining;
+            : found->second.ordinary.ready + found->second.ordinary.draining;
         const int room
             = input.scaling.maxPerDomain - std::max(ordinary, input.scaling.minPerDomain);
-        count = std::min(each, std::max(0, room));
+        count = std::min(perDomain, std::max(0, room));
     }
     return wanted;
 }
 
-int PreemptibleSpread::ordinaryBeside(const ByDomain &preemptible, int needed) const
+int PreemptibleSpread::additionalOrdinary(const ByDomain &preemptible, int needed) const
 {
-    const int all = sumOf(preemptible);
-    const int afterLoss = all - largestOf(preemptible);
-    return std::max(
-        {0, needed - all, roundedUp(settings_.leftAfterSecondLoss * needed) - afterLoss});
+    const int total = sumOf(preemptible);
+    const int afterLoss = total - largestOf(preemptible);
+    return std::max({0, needed - total,
+                     roundedUp(settings_.capacityShareAfterSecondLoss * needed) - afterLoss});
 }
 
 PoolSize PreemptibleSpread::decide(const SizingInput &input) const
@@ -130,18 +131,16 @@
     ByDomain ready;
     int ordinaryReady = 0;
     for (const auto &[domain, count] : preemptible) {
-        const auto endpointCounts = input.endpointCounts.domains.find(domain);
-        ready[domain] = endpointCounts == input.endpointCounts.domains.end()
-            ? 0
-            : endpointCounts->second.preemptible.ready;
-        ordinaryReady += endpointCounts == input.endpointCounts.domains.end()
-            ? 0
-            : endpointCounts->second.ordinary.ready;
+        const auto found = input.endpointCounts.domains.find(domain);
+        ready[domain]
+            = found == input.endpointCounts.domains.end() ? 0 : found->second.preemptible.ready;
+        ordinaryReady
+            += found == input.endpointCounts.domains.end() ? 0 : found->second.ordinary.ready;
     }
-    // Ordinary endpoints go only when preemptible ones have taken their place. None are ordered
-    // for the time until those start: they would take as long.
-    const int kept = std::min(ordinaryReady, ordinaryBeside(ready, input.needed));
-    const int wanted = std::max(kept, ordinaryBeside(preemptible, input.needed));
+    // Ordinary endpoints are removed only after preemptible ones have replaced them. None are
+    // ordered to bridge the time until those start, as they would take as long to start.
+    const int kept = std::min(ordinaryReady, additionalOrdinary(ready, input.needed));
+    const int wanted = std::max(kept, additionalOrdinary(preemptible, input.needed));
     const ByDomain ordinary = placeOrdinary(input, preemptible, wanted);
     PoolSize size;
     for (const auto &[domain, count] : preemptible)
--- a/tests/duties/singleholder_test.cpp
+++ b/tests/duties/singleholder_test.cpp
@@ -1,4 +1,4 @@
-#include "dutyworld.h"
+#include "dutysimulation.h"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -10,57 +10,58 @@
 namespace {
 
 constexpr int SeedsWithFaults = 400;
-constexpr int SeedsOfStops = 50;
-constexpr int FaultsInARowMs = 600;
-constexpr auto Day = std::chrono::seconds(60);
+constexpr int SeedsOfPlannedStops = 50;
+constexpr int FrequentFaultIntervalMs = 600;
+constexpr auto RunTime = std::chrono::seconds(60);
 
-std::set<std::string> faultsOf(DutyWorldSettings settings, int seeds)
+std::set<std::string> violationsOf(DutySimulationSettings settings, int seeds)
 {
-    std::set<std::string> faults;
+    std::set<std::string> violations;
     for (int seed = 1; seed <= seeds; ++seed) {
         settings.seed = std::uint32_t(seed);
-        DutyWorld world(settings);
-        world.run(Day);
-        faults.insert(world.faults().begin(), world.faults().end());
+        DutySimulation simulation(settings);
+        simulation.run(RunTime);
+        violations.insert(simulation.violations().begin(), simulation.violations().end());
     }
-    return faults;
+    return violations;
 }
 
-// The holder is stopped and restarted, and its successor soon after.
-std::set<std::string> faultsOfTwoPlannedStops(DutyWorldSettings settings)
+// Stops and restarts the holder, and its successor soon after.
+std::set<std::string> violationsOfTwoPlannedStops(DutySimulationSettings settings)
 {
     settings.hosts = 2;
     settings.hasFaults = false;
-    std::set<std::string> faults;
-    for (int seed = 1; seed <= SeedsOfStops; ++seed) {
+    std::set<std::string> violations;
+    for (int seed = 1; seed <= SeedsOfPlannedStops; ++seed) {
         settings.seed = std::uint32_t(seed);
-        DutyWorld world(settings);
-        world.run(std::chrono::seconds(10));
+        DutySimulation simulation(settings);
+        simulation.run(std::chrono::seconds(10));
         for (int stops = 0; stops < 2; ++stops) {
-            while (world.holder() < 0)
-                world.run(std::chrono::milliseconds(50));
-            world.run(std::chrono::milliseconds(150));
-            world.stop(world.holder(), std::chrono::milliseconds(50));
+            while (simulation.holder() < 0)
+                simulation.run(std::chrono::milliseconds(50));
+            simulation.run(std::chrono::milliseconds(150));
+            simulation.stop(simulation.holder(), std::chrono::milliseconds(50));
         }
-        world.run(std::chrono::seconds(5));
-        faults.insert(world.faults().begin(), world.faults().end());
+        simulation.run(std::chrono::seconds(5));
+        violations.insert(simulation.violations().begin(), simulation.violations().end());
     }
-    return faults;
+    return violations;
 }
 
-// Plays calm worlds until one host has held the lease for a while, then the scene.
-template <typename Scene>
-void playWithHolder(Scene &&scene)
+// Runs simulations without injected faults until one host has held the lease for a while, then the
+// scenario.
+template <typename Scenario>
+void runWithHolder(Scenario &&scenario)
 {
-    DutyWorldSettings settings;
+    DutySimulationSettings settings;
     settings.hasFaults = false;
     for (int seed = 1; seed <= 20; ++seed) {
         settings.seed = std::uint32_t(seed);
-        DutyWorld world(settings);
-        world.run(std::chrono::seconds(10));
-        const int first = world.holder();
+        DutySimulation simulation(settings);
+        simulation.run(std::chrono::seconds(10));
+        const int first = simulation.holder();
         REQUIRE(first >= 0);
-        scene(world, first);
+        scenario(simulation, first);
     }
 }
 
@@ -68,99 +69,102 @@
 
 TEST_SUITE_BEGIN("SingleHolder");
 
-// Guards against two hosts acting at once, whatever crashes, freezes, is cut off, lost or late.
-TEST_CASE("SingleHolder.KeepsTheRulesOfDutiesUnderSeededFaults")
+// Guards against two hosts acting at once when hosts crash, freeze or are disconnected, or calls
+// are lost or late.
+TEST_CASE("SingleHolder.NoViolationsUnderSeededFaults")
 {
     for (int hosts : {2, 3}) {
-        for (int maxCalmMs : {DutyWorldSettings().maxCalmMs, FaultsInARowMs}) {
-            DutyWorldSettings settings;
+        for (int maxFaultIntervalMs :
+             {DutySimulationSettings().maxFaultIntervalMs, FrequentFaultIntervalMs}) {
+            DutySimulationSettings settings;
             settings.hosts = hosts;
-            settings.maxCalmMs = maxCalmMs;
-            CHECK(faultsOf(settings, SeedsWithFaults) == std::set<std::string>());
+            settings.maxFaultIntervalMs = maxFaultIntervalMs;
+            CHECK(violationsOf(settings, SeedsWithFaults) == std::set<std::string>());
         }
     }
 }
 
-TEST_CASE("SingleHolder.KeepsTheRulesOfDutiesUnderRandomFaults")
+TEST_CASE("SingleHolder.NoViolationsUnderRandomFaults")
 {
-    CHECK(rc::check("no rule of duties is broken", [] {
-        DutyWorldSettings settings;
+    CHECK(rc::check("no rule for duties is violated", [] {
+        DutySimulationSettings settings;
         settings.seed = *rc::gen::arbitrary<std::uint32_t>();
         settings.hosts = *rc::gen::inRange(2, 4);
-        DutyWorld world(settings);
-        world.run(Day);
-        RC_ASSERT(world.faults().empty());
+        DutySimulation simulation(settings);
+        simulation.run(RunTime);
+        RC_ASSERT(simulation.violations().empty());
     }));
 }
 
-// Guards against checks that see nothing: each safeguard taken out is noticed.
-TEST_CASE("SingleHolder.ChecksNoticeEachMissingSafeguard")
+// Guards against ineffective checks: each disabled safeguard must cause its violation.
+TEST_CASE("SingleHolder.ChecksDetectEachDisabledSafeguard")
 {
-    DutyWorldSettings withoutFixing;
-    withoutFixing.fixesReports = false;
-    CHECK(faultsOf(withoutFixing, SeedsWithFaults).count("two reports of one window differ") == 1);
+    DutySimulationSettings withoutStoring;
+    withoutStoring.storesReports = false;
+    CHECK(violationsOf(withoutStoring, SeedsWithFaults).count("two reports of one window differ")
+          == 1);
 
-    DutyWorldSettings withoutTokens;
-    withoutTokens.countsTokens = false;
-    CHECK(faultsOf(withoutTokens, SeedsWithFaults).count("two holders under one token") == 1);
+    DutySimulationSettings withoutTokens;
+    withoutTokens.incrementsTokens = false;
+    CHECK(violationsOf(withoutTokens, SeedsWithFaults).count("two holders under one token") == 1);
 
-    DutyWorldSettings withoutPause;
-    withoutPause.pausesAfterLoss = false;
-    CHECK(faultsOfTwoPlannedStops(withoutPause)
+    DutySimulationSettings withoutDelay;
+    withoutDelay.delaysReacquire = false;
+    CHECK(violationsOfTwoPlannedStops(withoutDelay)
               .count("a holder acts again after another one within the lease")
           == 1);
 }
 
-TEST_CASE("SingleHolder.ReportsEachWindowOfACalmDayWithFewCalls")
+TEST_CASE("SingleHolder.ReportsEachWindowWithFewCallsWithoutFaults")
 {
-    DutyWorldSettings settings;
+    DutySimulationSettings settings;
     settings.hasFaults = false;
-    DutyWorld world(settings);
-    world.run(Day);
-    CHECK(world.faults().empty());
-    CHECK(world.reports().size() >= 11);
-    // One renewal a second and one object for each window.
-    CHECK(world.storeCalls() <= 60 + 14 + 3);
+    DutySimulation simulation(settings);
+    simulation.run(RunTime);
+    CHECK(simulation.violations().empty());
+    CHECK(simulation.reports().size() >= 11);
+    // One renewal a second and one stored report for each window.
+    CHECK(simulation.storeCalls() <= 60 + 14 + 3);
 }
 
-// Guards against a day without reports after the holder is gone.
-TEST_CASE("SingleHolder.AnotherHostHoldsTheLeaseSoonAfterTheHolderIsKilled")
+// Guards against missing reports after the holder has crashed.
+TEST_CASE("SingleHolder.AnotherHostAcquiresTheLeaseSoonAfterTheHolderCrashes")
 {
-    playWithHolder([](DutyWorld &world, int first) {
-        world.crash(first, std::chrono::minutes(1));
-        world.run(std::chrono::milliseconds(4500));
-        CHECK(world.holder() >= 0);
-        CHECK(world.holder() != first);
+    runWithHolder([](DutySimulation &simulation, int first) {
+        simulation.crash(first, std::chrono::minutes(1));
+        simulation.run(std::chrono::milliseconds(4500));
+        CHECK(simulation.holder() >= 0);
+        CHECK(simulation.holder() != first);
     });
 }
 
-// Guards against a holder that is stopped and back before its successor's lease is over.
-TEST_CASE("SingleHolder.ARestartedHolderLeavesTheLeaseToOthersForItsDuration")
+// Guards against a restarted holder that acquires the lease again right after its successor.
+TEST_CASE("SingleHolder.ARestartedHolderDoesNotReacquireTheLeaseWithinItsDuration")
 {
-    CHECK(faultsOfTwoPlannedStops({}).empty());
+    CHECK(violationsOfTwoPlannedStops({}).empty());
 }
 
-// Guards against a pause of the duties at each planned stop.
+// Guards against an interruption of the duties at each planned stop.
 TEST_CASE("SingleHolder.APlannedStopHandsTheLeaseOverWithinSeconds")
 {
-    playWithHolder([](DutyWorld &world, int first) {
-        world.stop(first, std::chrono::minutes(1));
-        world.run(std::chrono::milliseconds(1500));
-        CHECK(world.holder() >= 0);
-        CHECK(world.holder() != first);
-        CHECK(world.faults().empty());
+    runWithHolder([](DutySimulation &simulation, int first) {
+        simulation.stop(first, std::chrono::minutes(1));
+        simulation.run(std::chrono::milliseconds(1500));
+        CHECK(simulation.holder() >= 0);
+        CHECK(simulation.holder() != first);
+        CHECK(simulation.violations().empty());
     });
 }
 
-// Guards against a frozen holder that goes on acting when it wakes up.
-TEST_CASE("SingleHolder.AFrozenHolderDoesNotActAfterItsLeasePassedOn")
+// Guards against a frozen holder that continues to act when it resumes.
+TEST_CASE("SingleHolder.AFrozenHolderDoesNotActAfterItsLeaseWasTakenOver")
 {
-    playWithHolder([](DutyWorld &world, int first) {
-        world.freeze(first, std::chrono::seconds(7));
-        world.run(std::chrono::seconds(30));
-        CHECK(world.holder() != first);
-        CHECK(world.faults().empty());
-        CHECK(world.reports().size() >= 6);
+    runWithHolder([](DutySimulation &simulation, int first) {
+        simulation.freeze(first, std::chrono::seconds(7));
+        simulation.run(std::chrono::seconds(30));
+        CHECK(simulation.holder() != first);
+        CHECK(simulation.violations().empty());
+        CHECK(simulation.reports().size() >= 6);
     });
 }
 
--- a/tests/duties/usagecounts_test.cpp
+++ b/tests/duties/usagecounts_test.cpp
@@ -1,4 +1,4 @@
-#include "dutyworld.h"
+#include "dutysimulation.h"
 
 #include <doctest/doctest.h>
 
@@ -8,105 +8,112 @@
 
 constexpr int Hosts = 9;
 constexpr int Seeds = 10;
-// The platform accepts counts that are off by this share.
+// The platform accepts counts that deviate by this share.
 constexpr double Tolerance = 0.05;
-constexpr auto Calm = std::chrono::seconds(20);
-constexpr auto DueSoon = std::chrono::seconds(30);
+constexpr auto QuietTime = std::chrono::seconds(20);
+constexpr auto ReportingTime = std::chrono::seconds(30);
 
-// Plays a calm time, the trouble, and the time until all windows around it are due; counts the
-// windows that are missing or off from the start of the trouble on.
-template <typename Trouble>
-int badWindowsAfter(Trouble &&trouble)
+// Runs without faults, injects the fault, and runs until all windows around it are due. Returns the
+// number of windows from just before the fault on whose report is missing or inaccurate.
+template <typename Fault>
+int inaccurateWindowsAfter(Fault &&fault)
 {
-    int bad = 0;
+    int inaccurate = 0;
     for (int seed = 1; seed <= Seeds; ++seed) {
-        DutyWorldSettings settings;
+        DutySimulationSettings settings;
         settings.hosts = Hosts;
         settings.hasFaults = false;
         settings.seed = std::uint32_t(seed);
-        DutyWorld world(settings);
-        // Into the middle of a window, a little elsewhere with each seed.
-        world.run(Calm + std::chrono::milliseconds(400 * seed));
-        const WindowNumber from(world.windowNow().value() - 1);
-        trouble(world);
-        world.run(DueSoon);
-        bad += int(world.badWindows(from, Tolerance).size());
-        CHECK(world.faults().empty());
+        DutySimulation simulation(settings);
+        // The fault hits a different point of a window with each seed.
+        simulation.run(QuietTime + std::chrono::milliseconds(400 * seed));
+        const WindowNumber from(simulation.windowNow().value() - 1);
+        fault(simulation);
+        simulation.run(ReportingTime);
+        inaccurate += int(simulation.inaccurateWindows(from, Tolerance).size());
+        CHECK(simulation.violations().empty());
     }
-    return bad;
+    return inaccurate;
 }
 
 } // namespace
 
 TEST_SUITE_BEGIN("UsageCounts");
 
-TEST_CASE("UsageCounts.AreExactOnACalmDay")
+TEST_CASE("UsageCounts.AreAccurateWithoutFaults")
 {
-    CHECK(badWindowsAfter([](DutyWorld &) {}) == 0);
+    CHECK(inaccurateWindowsAfter([](DutySimulation &) {}) == 0);
 }
 
-// Guards against counts that are lost with the hosts that made them.
+// Guards against counts that are lost with the hosts that counted them.
 TEST_CASE("UsageCounts.SurviveTheLossOfAThirdOfTheHosts")
 {
-    CHECK(badWindowsAfter([](DutyWorld &world) {
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
               for (int host = 0; host < Hosts; host += 3)
-                  world.crash(host, std::chrono::seconds(4));
+                  simulation.crash(host, std::chrono::seconds(4));
           })
           == 0);
 }
 
-// Guards against counts that only the holder knew.
-TEST_CASE("UsageCounts.SurviveTheHolder")
+// Guards against counts that only the lease holder has.
+TEST_CASE("UsageCounts.SurviveTheLossOfTheHolder")
 {
-    CHECK(badWindowsAfter(
-              [](DutyWorld &world) { world.crash(world.holder(), std::chrono::seconds(2)); })
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.crash(simulation.holder(), std::chrono::seconds(2));
+          })
           == 0);
-    CHECK(badWindowsAfter(
-              [](DutyWorld &world) { world.freeze(world.holder(), std::chrono::seconds(6)); })
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.freeze(simulation.holder(), std::chrono::seconds(6));
+          })
           == 0);
-    CHECK(badWindowsAfter(
-              [](DutyWorld &world) { world.stop(world.holder(), std::chrono::seconds(1)); })
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.stop(simulation.holder(), std::chrono::seconds(1));
+          })
           == 0);
-    // Replaced by a host that comes much later.
-    CHECK(badWindowsAfter(
-              [](DutyWorld &world) { world.crash(world.holder(), std::chrono::seconds(25)); })
+    // The crashed host restarts much later.
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.crash(simulation.holder(), std::chrono::seconds(25));
+          })
           == 0);
 }
 
-// Guards against two holders lost one after the other.
-TEST_CASE("UsageCounts.SurviveTwoHoldersInARow")
+// Guards against counts that are lost when a holder and then its successor crash.
+TEST_CASE("UsageCounts.SurviveTheLossOfTwoHoldersInARow")
 {
-    CHECK(badWindowsAfter([](DutyWorld &world) {
-              world.crash(world.holder(), std::chrono::seconds(8));
-              world.run(std::chrono::seconds(6));
-              if (world.holder() >= 0)
-                  world.crash(world.holder(), std::chrono::seconds(8));
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.crash(simulation.holder(), std::chrono::seconds(8));
+              simulation.run(std::chrono::seconds(6));
+              if (simulation.holder() >= 0)
+                  simulation.crash(simulation.holder(), std::chrono::seconds(8));
           })
           == 0);
 }
 
-// Guards against a holder that is cut off or refused by the store and keeps the others from acting.
-TEST_CASE("UsageCounts.SurviveAHolderWithoutStore")
+// Guards against a holder that can't use the store and keeps other hosts from acting.
+TEST_CASE("UsageCounts.SurviveAHolderDisconnectedFromTheStore")
 {
-    CHECK(badWindowsAfter(
-              [](DutyWorld &world) { world.cutStore(world.holder(), std::chrono::seconds(8)); })
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.disconnectStore(simulation.holder(), std::chrono::seconds(8));
+          })
           == 0);
 }
 
-// Guards against reports that an outage of the store holds back until they are overdue.
-TEST_CASE("UsageCounts.AreReportedInTimeAfterAShortOutageOfTheStore")
+// Guards against reports that become overdue because of a store outage.
+TEST_CASE("UsageCounts.AreReportedInTimeAfterAShortStoreOutage")
 {
-    CHECK(badWindowsAfter([](DutyWorld &world) { world.cutStoreForAll(std::chrono::seconds(5)); })
+    CHECK(inaccurateWindowsAfter([](DutySimulation &simulation) {
+              simulation.disconnectStoreForAll(std::chrono::seconds(5));
+          })
           == 0);
 }
 
-// Guards against requests that fall into another window when clocks are stepped.
-TEST_CASE("UsageCounts.FollowTheTimeOfDayOnWhichMostHostsAgree")
+// Guards against requests that are counted in the wrong window when a wall clock is stepped.
+TEST_CASE("UsageCounts.UseTheWallClockOfMostHosts")
 {
     for (const auto step : {std::chrono::seconds(2), std::chrono::seconds(-2)}) {
-        CHECK(badWindowsAfter([step](DutyWorld &world) {
+        CHECK(inaccurateWindowsAfter([step](DutySimulation &simulation) {
                   for (int host = 0; host < Hosts; host += 3)
-                      world.stepWallClock(host, step);
+                      simulation.stepWallClock(host, step);
               })
               == 0);
     }
--- a/tests/httpio/messageparser_test.cpp
+++ b/tests/httpio/messageparser_test.cpp
@@ -54,11 +54,11 @@
     CHECK(recorder.heads[1].method == "GET");
 }
 
-TEST_CASE("MessageParser.ReadsTheSameHoweverTheBytesAreCut")
+TEST_CASE("MessageParser.ResultIsIndependentOfHowTheBytesAreSplit")
 {
     const std::string text = "POST /a HTTP/1.1\r\nX-One: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
                              "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-    const bool holds = rc::check("any cut gives the same message", [&] {
+    const bool holds = rc::check("any split gives the same message", [&] {
         Recorder recorder;
         MessageParser parser(MessageKind::Request, MaxHead, recorder);
         std::string_view left = text;
@@ -74,7 +74,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("MessageParser.RejectsRequestsThatCouldBeFramedInTwoWays")
+TEST_CASE("MessageParser.RejectsRequestsWithAmbiguousFraming")
 {
     const std::string begin = "POST /a HTTP/1.1\r\n";
     CHECK(isRejected(begin + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"));
@@ -85,7 +85,7 @@
     CHECK(isRejected(begin + "Content-Length: +3\r\n\r\nabc"));
 }
 
-TEST_CASE("MessageParser.HeadOverTheLimitFails")
+TEST_CASE("MessageParser.RejectsAHeadOverTheLimit")
 {
     Recorder recorder;
     MessageParser parser(MessageKind::Request, MaxHead, recorder);
@@ -107,7 +107,7 @@
     CHECK(recorder.ends == 1);
 }
 
-TEST_CASE("MessageParser.CloseWithinALengthIsNoEnd")
+TEST_CASE("MessageParser.CloseBeforeTheFullLengthDoesNotCompleteAResponse")
 {
     Recorder recorder;
     MessageParser parser(MessageKind::Response, MaxHead, recorder);
@@ -140,7 +140,7 @@
     CHECK(holds);
 }
 
-TEST_CASE("MessageHead.ConnectionHeadersAreNotPassedOn")
+TEST_CASE("MessageHead.HopByHopHeadersAreNotForwarded")
 {
     const Headers headers{
         {"Connection", "close, X-Hop"}, {"X-Hop", "1"}, {"Keep-Alive", "timeout=5"},
--- a/tests/httpio/timers_test.cpp
+++ b/tests/httpio/timers_test.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("Timers.RunInOrderOfTimeAndNotAfterACancel")
+TEST_CASE("Timers.RunInOrderOfTimeAndNotAfterCancellation")
 {
     asio::io_context io;
     units::ManualClock clock;
@@ -27,8 +27,8 @@
 
 TEST_CASE("Timers.SuspensionDoesNotDelayADeadline")
 {
-    // The host is suspended for ten seconds, which the system's timers do not count. A deadline of
-    // five seconds must run within the longest sleep after the wake-up, not five seconds later.
+    // The host is suspended for ten seconds, which the system timer does not count. A deadline of
+    // five seconds must run within MaxSleep after the resume, not five seconds later.
     asio::io_context io;
     units::ManualClock clock;
     httpio::Timers timers(io, clock);
--- a/tests/scaling/poolautoscaler_test.cpp
+++ b/tests/scaling/poolautoscaler_test.cpp
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr auto Tick = std::chrono::milliseconds(100);
-constexpr auto Notice = std::chrono::seconds(2);
+constexpr auto PreemptionNotice = std::chrono::seconds(2);
 const units::PoolName Pool("pool");
 const std::vector<units::FailureDomain> Domains{
     units::FailureDomain("a"), units::FailureDomain("b"), units::FailureDomain("c")};
 
-// A platform that serves orders after the boot time and takes preemptible endpoints away.
-class PoolWorld : public ScaledPools, public BaselineStore, public duties::DutyPlatform
+// Simulates a platform that fulfils orders after the boot time and preempts endpoints.
+class PoolSimulation : public ScaledPools, public BaselineStore, public duties::DutyPlatform
 {
 public:
-    explicit PoolWorld(int ordinaryInEach)
+    explicit PoolSimulation(int ordinaryInEach)
     {
         scaled_.name = Pool;
         scaled_.scaling.minPerDomain = 1;
@@ -61,14 +61,14 @@
         }
     }
 
-    // All preemptible endpoints of the domain leave, and none are to be had there for a time.
-    void preempt(const units::FailureDomain &domain, units::Duration noneFor)
+    // Drains all preemptible endpoints of the domain; none are available there for the duration.
+    void preempt(const units::FailureDomain &domain, units::Duration duration)
     {
         EndpointCounts &kind = scaled_.endpointCounts.domains[domain].preemptible;
         kind.draining += kind.ready;
         kind.ready = 0;
-        noneUntil_[domain] = clock_.now() + noneFor;
-        after(Notice,
+        unavailableUntil_[domain] = clock_.now() + duration;
+        after(PreemptionNotice,
               [this, domain] { scaled_.endpointCounts.domains[domain].preemptible.draining = 0; });
     }
 
@@ -106,7 +106,7 @@
         }
         DomainEndpointCounts &domain = scaled_.endpointCounts.domains[order.domain];
         EndpointCounts &kind = order.preemptible ? domain.preemptible : domain.ordinary;
-        if (order.preemptible && clock_.now() < noneUntil_[order.domain]
+        if (order.preemptible && clock_.now() < unavailableUntil_[order.domain]
             && order.desired > kind.ready) {
             done(duties::CallOutcome::Unavailable);
             return;
@@ -122,8 +122,8 @@
     int ordinary() const
     {
         int sum = 0;
-        for (const auto &[domain, endpointCounts] : scaled_.endpointCounts.domains)
-            sum += endpointCounts.ordinary.ready;
+        for (const auto &[domain, counts] : scaled_.endpointCounts.domains)
+            sum += counts.ordinary.ready;
         return sum;
     }
 
@@ -131,7 +131,7 @@
     int leastReady = 1000;
     bool isListCurrent = true;
     bool isRejecting = false;
-    bool isBootBroken = false; // ordered endpoints never come
+    bool isBootBroken = false; // ordered endpoints never start
 
 private:
     void after(units::Duration delay, std::function<void()> function)
@@ -144,7 +144,7 @@
     PreemptibleSpread policy_{{}};
     ScaledPool scaled_;
     std::optional<int> baseline_;
-    std::map<units::FailureDomain, units::TimePoint> noneUntil_;
+    std::map<units::FailureDomain, units::TimePoint> unavailableUntil_;
     std::list<std::pair<units::TimePoint, std::function<void()>>> events_;
     std::uint64_t token_ = 0;
     std::unique_ptr<PoolAutoscaler> ordering_;
@@ -152,131 +152,131 @@
 
 } // namespace
 
-TEST_SUITE_BEGIN("WorkerOrdering");
+TEST_SUITE_BEGIN("PoolAutoscaler");
 
-TEST_CASE("PoolAutoscaler.ReplacesOrdinaryEndpointsWithoutAGap")
+TEST_CASE("PoolAutoscaler.ReplacesOrdinaryEndpointsWithoutLosingCapacity")
 {
-    PoolWorld world(30);
-    world.run(std::chrono::seconds(20));
-    CHECK(world.ordinary() == 3);
-    CHECK(world.leastReady >= 90);
-    CHECK(world.orders <= 20);
+    PoolSimulation simulation(30);
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.ordinary() == 3);
+    CHECK(simulation.leastReady >= 90);
+    CHECK(simulation.orders <= 20);
 }
 
-// Guards against a pool that stays small after preemptions in the middle of a burst.
-TEST_CASE("PoolAutoscaler.BearsTheLossOfTwoDomainsInARow")
+// Guards against a pool that stays too small after preemptions in the middle of a burst.
+TEST_CASE("PoolAutoscaler.RestoresCapacityAfterTheLossOfTwoDomainsInARow")
 {
-    PoolWorld world(30);
-    world.run(std::chrono::seconds(25));
-    world.leastReady = 1000;
-    world.preempt(Domains[0], std::chrono::seconds(10));
-    world.run(std::chrono::seconds(1));
-    // Ordered elsewhere at once: there before the next loss.
-    world.run(std::chrono::seconds(5));
-    CHECK(world.endpointCounts().ready() >= 90);
-    world.preempt(Domains[1], std::chrono::seconds(10));
-    world.run(std::chrono::seconds(6));
-    CHECK(world.leastReady >= 45);
-    CHECK(world.endpointCounts().ready() >= 90);
-    world.run(std::chrono::seconds(25));
-    CHECK(world.endpointCounts().ready() >= 90);
-    CHECK(world.ordinary() == 3);
+    PoolSimulation simulation(30);
+    simulation.run(std::chrono::seconds(25));
+    simulation.leastReady = 1000;
+    simulation.preempt(Domains[0], std::chrono::seconds(10));
+    simulation.run(std::chrono::seconds(1));
+    // Replacements are ordered in other domains at once and start before the next loss.
+    simulation.run(std::chrono::seconds(5));
+    CHECK(simulation.endpointCounts().ready() >= 90);
+    simulation.preempt(Domains[1], std::chrono::seconds(10));
+    simulation.run(std::chrono::seconds(6));
+    CHECK(simulation.leastReady >= 45);
+    CHECK(simulation.endpointCounts().ready() >= 90);
+    simulation.run(std::chrono::seconds(25));
+    CHECK(simulation.endpointCounts().ready() >= 90);
+    CHECK(simulation.ordinary() == 3);
 }
 
-// Guards against a storm of orders where nothing is to be had.
-TEST_CASE("PoolAutoscaler.AsksSeldomWhereNoPreemptibleEndpointsAreToBeHad")
+// Guards against a flood of orders while the platform has no capacity.
+TEST_CASE("PoolAutoscaler.OrdersRarelyWithoutPreemptibleCapacity")
 {
-    PoolWorld world(30);
-    world.run(std::chrono::seconds(25));
-    world.preempt(Domains[0], std::chrono::seconds(30));
-    world.run(std::chrono::seconds(6));
-    world.orders = 0;
-    world.run(std::chrono::seconds(12));
-    CHECK(world.orders <= 8);
+    PoolSimulation simulation(30);
+    simulation.run(std::chrono::seconds(25));
+    simulation.preempt(Domains[0], std::chrono::seconds(30));
+    simulation.run(std::chrono::seconds(6));
+    simulation.orders = 0;
+    simulation.run(std::chrono::seconds(12));
+    CHECK(simulation.orders <= 8);
 }
 
-TEST_CASE("PoolAutoscaler.PausesAfterARejectedCall")
+TEST_CASE("PoolAutoscaler.DelaysRetriesAfterRejectedCalls")
 {
-    PoolWorld world(30);
-    world.isRejecting = true;
-    world.run(std::chrono::seconds(10));
-    CHECK(world.orders <= 3 * 2 * 10);
-    world.isRejecting = false;
-    world.run(std::chrono::seconds(20));
-    CHECK(world.ordinary() == 3);
+    PoolSimulation simulation(30);
+    simulation.isRejecting = true;
+    simulation.run(std::chrono::seconds(10));
+    CHECK(simulation.orders <= 3 * 2 * 10);
+    simulation.isRejecting = false;
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.ordinary() == 3);
 }
 
-// Guards against a new holder that takes what it finds for too much.
-TEST_CASE("PoolAutoscaler.ANewHolderChangesNothing")
+// Guards against a new lease holder that considers existing endpoints superfluous.
+TEST_CASE("PoolAutoscaler.ANewLeaseHolderKeepsThePoolUnchanged")
 {
-    PoolWorld world(30);
-    world.run(std::chrono::seconds(25));
-    const int ready = world.endpointCounts().ready();
-    world.orders = 0;
-    world.leastReady = 1000;
-    world.startHolder();
-    world.run(std::chrono::seconds(20));
-    CHECK(world.orders == 0);
-    CHECK(world.leastReady == ready);
+    PoolSimulation simulation(30);
+    simulation.run(std::chrono::seconds(25));
+    const int ready = simulation.endpointCounts().ready();
+    simulation.orders = 0;
+    simulation.leastReady = 1000;
+    simulation.startHolder();
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.orders == 0);
+    CHECK(simulation.leastReady == ready);
 }
 
-// Guards against orders by a list that the store could not bring up to date.
-TEST_CASE("PoolAutoscaler.OrdersNothingByAnOutdatedList")
+// Guards against orders based on an outdated list while the store is unavailable.
+TEST_CASE("PoolAutoscaler.OrdersNothingWhileTheListIsOutdated")
 {
-    PoolWorld world(30);
-    world.run(std::chrono::seconds(25));
-    const PoolEndpointCounts before = world.endpointCounts();
-    world.orders = 0;
-    world.isListCurrent = false;
-    for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
-        endpointCounts.preemptible.ready /= 3;
-    world.run(std::chrono::seconds(8));
-    CHECK(world.orders == 0);
-    // Entries that lapsed with the store come back a moment after it.
-    world.isListCurrent = true;
-    world.run(std::chrono::seconds(2));
-    world.endpointCounts() = before;
-    world.run(std::chrono::seconds(10));
-    CHECK(world.orders == 0);
+    PoolSimulation simulation(30);
+    simulation.run(std::chrono::seconds(25));
+    const PoolEndpointCounts before = simulation.endpointCounts();
+    simulation.orders = 0;
+    simulation.isListCurrent = false;
+    for (auto &[domain, counts] : simulation.endpointCounts().domains)
+        counts.preemptible.ready /= 3;
+    simulation.run(std::chrono::seconds(8));
+    CHECK(simulation.orders == 0);
+    // Entries that expired while the store was unavailable reappear shortly after it is back.
+    simulation.isListCurrent = true;
+    simulation.run(std::chrono::seconds(2));
+    simulation.endpointCounts() = before;
+    simulation.run(std::chrono::seconds(10));
+    CHECK(simulation.orders == 0);
 }
 
-// Guards against ordinary endpoints that go although those in their place never started.
-TEST_CASE("PoolAutoscaler.KeepsOrdinaryEndpointsWhileOthersDoNotStart")
+// Guards against removing ordinary endpoints whose replacements never started.
+TEST_CASE("PoolAutoscaler.KeepsOrdinaryEndpointsUntilReplacementsStart")
 {
-    PoolWorld world(30);
-    world.isBootBroken = true;
-    world.run(std::chrono::seconds(30));
-    CHECK(world.ordinary() == 90);
-    world.isBootBroken = false;
-    world.run(std::chrono::seconds(30));
-    CHECK(world.ordinary() == 3);
+    PoolSimulation simulation(30);
+    simulation.isBootBroken = true;
+    simulation.run(std::chrono::seconds(30));
+    CHECK(simulation.ordinary() == 90);
+    simulation.isBootBroken = false;
+    simulation.run(std::chrono::seconds(30));
+    CHECK(simulation.ordinary() == 3);
 }
 
-// Guards against a baseline taken while endpoints still register.
-TEST_CASE("PoolAutoscaler.TakesTheOperatorsSizeWhenAllHaveRegistered")
+// Guards against a baseline that is set while endpoints are still registering.
+TEST_CASE("PoolAutoscaler.SetsTheBaselineAfterAllEndpointsHaveRegistered")
 {
-    PoolWorld world(1);
+    PoolSimulation simulation(1);
     for (int ready = 2; ready <= 30; ++ready) {
-        for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
-            endpointCounts.ordinary.ready = ready;
-        world.run(Tick);
+        for (auto &[domain, counts] : simulation.endpointCounts().domains)
+            counts.ordinary.ready = ready;
+        simulation.run(Tick);
     }
-    world.run(std::chrono::seconds(20));
-    CHECK(world.endpointCounts().ready() >= 90);
+    simulation.run(std::chrono::seconds(20));
+    CHECK(simulation.endpointCounts().ready() >= 90);
 }
 
 // Guards against a pool that shrinks to the few endpoints that registered long before the others.
-TEST_CASE("PoolAutoscaler.AFewEarlyEndpointsAreNotTakenForThePool")
+TEST_CASE("PoolAutoscaler.AFewEarlyEndpointsDoNotLimitThePool")
 {
     for (const int secondsLater : {2, 5, 12, 30}) {
-        PoolWorld world(1);
-        world.run(std::chrono::seconds(secondsLater));
-        for (auto &[domain, endpointCounts] : world.endpointCounts().domains)
-            endpointCounts.ordinary.ready = 30;
-        world.leastReady = 1000;
-        world.run(std::chrono::seconds(30));
-        CHECK(world.leastReady >= 90);
-        CHECK(world.ordinary() == 3);
+        PoolSimulation simulation(1);
+        simulation.run(std::chrono::seconds(secondsLater));
+        for (auto &[domain, counts] : simulation.endpointCounts().domains)
+            counts.ordinary.ready = 30;
+        simulation.leastReady = 1000;
+        simulation.run(std::chrono::seconds(30));
+        CHECK(simulation.leastReady >= 90);
+        CHECK(simulation.ordinary() == 3);
     }
 }
 
--- a/tests/scaling/preemptiblespread_test.cpp
+++ b/tests/scaling/preemptiblespread_test.cpp
@@ -10,7 +10,7 @@
 const units::FailureDomain B("b");
 const units::FailureDomain C("c");
 
-// Three domains with 30 ordinary endpoints each, at different prices.
+// Three domains with 30 ordinary endpoints each and different prices.
 SizingInput threeDomains()
 {
     SizingInput input;
@@ -25,8 +25,8 @@
     return input;
 }
 
-// What the platform has made of an order.
-void serve(SizingInput &input, const PoolSize &size)
+// Updates the endpoints as if the platform had fulfilled the orders.
+void fulfil(SizingInput &input, const PoolSize &size)
 {
     for (const auto &[domain, wanted] : size) {
         input.endpointCounts.domains[domain].ordinary.ready = wanted.ordinary;
@@ -54,7 +54,7 @@
 PoolSize settled(SizingInput &input, const PreemptibleSpread &policy)
 {
     for (int round = 0; round < 5; ++round)
-        serve(input, policy.decide(input));
+        fulfil(input, policy.decide(input));
     return policy.decide(input);
 }
 
@@ -62,7 +62,7 @@
 
 TEST_SUITE_BEGIN("PreemptibleSpread");
 
-TEST_CASE("PreemptibleSpread.TakesTheOrdinaryOnesAwayOnlyWhenOthersServe")
+TEST_CASE("PreemptibleSpread.RemovesOrdinaryEndpointsOnlyAfterTheirReplacement")
 {
     SizingInput input = threeDomains();
     const PreemptibleSpread policy({});
@@ -73,10 +73,10 @@
     CHECK(ordinaryOf(last) == 3);
 }
 
-TEST_CASE("PreemptibleSpread.LeavesWhatIsNeededAfterTheLossOfAnyDomain")
+TEST_CASE("PreemptibleSpread.KeepsEnoughEndpointsAfterTheLossOfAnyDomain")
 {
     PreemptibleSpread::Settings settings;
-    settings.leftAfterLoss = 1;
+    settings.capacityShareAfterLoss = 1;
     SizingInput input = threeDomains();
     const PoolSize size = settled(input, PreemptibleSpread(settings));
     for (const auto &[lost, unused] : size) {
@@ -87,8 +87,8 @@
     }
 }
 
-// Guards against a pool that is too small while one domain's preemptible endpoints are away.
-TEST_CASE("PreemptibleSpread.MovesToTheOtherDomainsWhenOneHasNone")
+// Guards against a pool that is too small while one domain has no preemptible endpoints.
+TEST_CASE("PreemptibleSpread.UsesTheOtherDomainsWhenOneHasNoPreemptibleCapacity")
 {
     SizingInput input = threeDomains();
     const PreemptibleSpread policy({});
@@ -100,24 +100,24 @@
     CHECK(size.at(A).preemptible + size.at(C).preemptible >= input.needed);
 }
 
-// Guards against a pool that is lost for good when no preemptible endpoint is to be had.
-TEST_CASE("PreemptibleSpread.OrdersOrdinaryOnesWhenNoDomainHasPreemptibleOnes")
+// Guards against a pool that is not restored when no preemptible capacity is available.
+TEST_CASE("PreemptibleSpread.UsesOrdinaryEndpointsWhenNoDomainHasPreemptibleCapacity")
 {
     SizingInput input = threeDomains();
     const PreemptibleSpread policy({});
     settled(input, policy);
     input.preemptibleUnavailable = {A, B, C};
-    for (auto &[domain, endpointCounts] : input.endpointCounts.domains)
-        endpointCounts.preemptible.ready = 0;
+    for (auto &[domain, counts] : input.endpointCounts.domains)
+        counts.preemptible.ready = 0;
     const PoolSize size = policy.decide(input);
     CHECK(preemptibleOf(size) == 0);
     CHECK(ordinaryOf(size) == input.needed);
-    // The cheapest domains get most of them.
+    // The cheapest domain is filled first.
     CHECK(size.at(A).ordinary == 60);
     CHECK(size.at(B).ordinary == 1);
 }
 
-TEST_CASE("PreemptibleSpread.KeepsThePoolAsItIsWhereOthersWouldCostMore")
+TEST_CASE("PreemptibleSpread.KeepsThePoolUnchangedIfPreemptibleEndpointsCostMore")
 {
     SizingInput input = threeDomains();
     input.scaling.preemptiblePrice = 0.9;
@@ -126,7 +126,7 @@
     CHECK(ordinaryOf(size) == 90);
 }
 
-TEST_CASE("PreemptibleSpread.KeepsASingleDomainAsItIs")
+TEST_CASE("PreemptibleSpread.KeepsASingleDomainUnchanged")
 {
     SizingInput input = threeDomains();
     input.scaling.prices = {{A, 0.8}};
