--- a/include/monsoongrade/gateway/directory.h
+++ b/include/monsoongrade/gateway/directory.h
@@ -8,12 +8,14 @@
 
 namespace monsoongrade::gateway {
 
-// The hosts that a caller in the failure domain should use, at most maxHosts. live: the hosts other
-// than this one. The hosts of the caller's own domain, because bytes between domains cost; if there
-// are few of them, all hosts, so that a lost domain leaves callers others to try. Of too many, each
-// domain has the same ones at every host that is asked: callers close connections to hosts that
-// are missing from a new answer. Hosts that take requests; if none does, those that run and are
-// not leaving, since one of them will be the first to take requests again.
+// Returns at most maxHosts addresses that a caller in the given failure domain should use. live
+// contains the live hosts other than this one.
+//
+// Prefers serving hosts; if none is serving, returns those that are not ready yet, one of which
+// will be the first to serve. Prefers hosts in the caller's own domain, because traffic between
+// domains has a cost; if that domain has few hosts, returns hosts of all domains, so that callers
+// have alternatives when a domain is lost. Every host cuts a list longer than maxHosts to the same
+// subset for a domain, because callers close connections to hosts missing from a new answer.
 std::vector<std::string> hostsForCallers(const routing::PeerUpdate &own,
                                          const std::vector<routing::PeerUpdate> &live,
                                          const units::FailureDomain &callersDomain,
--- a/include/monsoongrade/gateway/dutyservice.h
+++ b/include/monsoongrade/gateway/dutyservice.h
@@ -9,8 +9,8 @@
 
 namespace monsoongrade::gateway {
 
-// This host's part in the duties that one host at a time has for all: keeps the lease if it can,
-// and does what is due while it holds it.
+// Runs the fleet-wide duties, which one host at a time performs under a lease. Acquires and renews
+// the lease where possible and performs the duties while this host holds it.
 class DutyService : private scaling::ScaledPools
 {
 public:
@@ -21,12 +21,12 @@
         scaling::BaselineStore &baselines;
     };
 
-    // The gateway counts usage.
+    // Requires gateway.state().usage to be set.
     DutyService(httpio::Timers &timers, Gateway &gateway, Stores stores,
                 duties::DutyPlatform &platform, const units::Clock &clock);
 
     void start() { round(); }
-    // Gives the lease to another host, at a planned stop.
+    // Releases the lease so that another host can take it; for a planned stop.
     void stop();
 
 private:
@@ -36,10 +36,10 @@
 
     httpio::Timers &timers_;
     Gateway &gateway_;
-    duties::DutyRunner holder_;
-    duties::UsageReporter usage_;
-    scaling::PreemptibleSpread sizing_;
-    scaling::PoolAutoscaler workers_;
+    duties::DutyRunner runner_;
+    duties::UsageReporter usageReporter_;
+    scaling::PreemptibleSpread preemptibleSpread_;
+    scaling::PoolAutoscaler autoscaler_;
     bool isStopping_ = false;
 };
 
--- a/include/monsoongrade/gateway/endpointconnections.h
+++ b/include/monsoongrade/gateway/endpointconnections.h
@@ -16,31 +16,33 @@
 
 enum class ConnectOutcome {
     Connected,
-    Failed, // refused, unreachable or too slow
-    AtLimit, // this host has its share of the endpoint's connections open already
+    Failed, // refused, unreachable or timed out
+    AtLimit, // this host already has its share of the endpoint's connections open
 };
 
-// Connections to endpoints, kept open between requests because a new one costs a round trip and
-// the endpoint's time. Every channel that acquire() hands out is given to giveBack() or discard().
+// Pools connections to endpoints. They stay open between requests, because a new connection costs a
+// round trip and processing time at the endpoint. Every channel passed to an AcquireHandler must be
+// passed to release() or discard().
 class EndpointConnections
 {
 public:
-    using Acquired = std::function<void(ConnectOutcome, std::shared_ptr<httpio::Channel>)>;
+    using AcquireHandler = std::function<void(ConnectOutcome, std::shared_ptr<httpio::Channel>)>;
 
     EndpointConnections(asio::io_context &io, httpio::Timers &timers);
 
-    // Finds an idle connection or opens one, at most maxOpen at a time. With checkIdle, an idle
-    // one is first checked with the system: a request that must not run twice can't be repeated
-    // when it is sent on a connection that the endpoint has just closed.
+    // Reuses an idle connection or opens a new one, with at most maxOpen open per endpoint. With
+    // checkIdle, asks the operating system whether an idle connection is still open, since a
+    // request that must not run twice can't be repeated if the endpoint has just closed it.
     void acquire(const routing::EndpointStatus &endpoint, int maxOpen, bool checkIdle,
-                 Acquired acquired);
-    // The response on the channel is whole. idleTimeout: after which the endpoint closes it.
-    void giveBack(const routing::EndpointStatus &endpoint,
-                  const std::shared_ptr<httpio::Channel> &channel,
-                  std::optional<std::chrono::seconds> idleTimeout);
+                 AcquireHandler onAcquired);
+    // Returns a channel whose response is complete. idleTimeout is the time after which the
+    // endpoint closes an idle connection.
+    void release(const routing::EndpointStatus &endpoint,
+                 const std::shared_ptr<httpio::Channel> &channel,
+                 std::optional<std::chrono::seconds> idleTimeout);
     void discard(const routing::EndpointStatus &endpoint,
                  const std::shared_ptr<httpio::Channel> &channel);
-    // The endpoint takes no more requests.
+    // Closes the endpoint's idle connections; called when it accepts no more requests.
     void closeIdle(const routing::EndpointStatus &endpoint);
 
     std::size_t opened() const { return opened_; }
@@ -54,15 +56,16 @@
     };
     struct PerEndpoint
     {
-        std::vector<Idle> idle; // the most recently used last
+        std::vector<Idle> idle; // most recently used last
         int open = 0; // idle, in use and connecting
     };
 
     static std::string keyOf(const routing::EndpointStatus &endpoint);
     std::shared_ptr<httpio::Channel> takeIdle(PerEndpoint &connections, bool checkIdle);
-    void connect(const std::string &key, const asio::ip::tcp::endpoint &address, Acquired acquired);
-    void onUnusable(const std::string &key, const httpio::Channel *channel);
-    void forgetIfEmpty(const std::string &key);
+    void connect(const std::string &key, const asio::ip::tcp::endpoint &address,
+                 AcquireHandler onAcquired);
+    void onClosed(const std::string &key, const httpio::Channel *channel);
+    void eraseIfUnused(const std::string &key);
 
     asio::io_context &io_;
     httpio::Timers &timers_;
--- a/include/monsoongrade/gateway/eventrelay.h
+++ b/include/monsoongrade/gateway/eventrelay.h
@@ -11,31 +11,32 @@
 
 namespace monsoongrade::gateway {
 
-// The events of one client's stream, which may come from several endpoints in turn. Passes whole
-// events only: after half an event, a continuation from another endpoint could not be joined.
+// Relays the server-sent events of one client's stream, which may come from several endpoints in
+// turn. Passes on complete events only, because a stream from another endpoint could not continue
+// in the middle of an event.
 class EventRelay
 {
 public:
-    // Bytes from the endpoint; returns what the client gets now. After a resume, events that the
-    // client has already are left out.
-    std::string take(std::string_view bytes, units::TimePoint now);
-    // The stream ended in order: what is left of an unfinished event.
+    // Adds bytes received from the endpoint and returns the events to send to the client now. After
+    // a resume, omits events that the client already has.
+    std::string feed(std::string_view bytes, units::TimePoint now);
+    // After a regular end of the stream: returns the incomplete last event.
     std::string takePartialEvent() { return events_.takePartialEvent(); }
     bool hasPartialEvent() const { return events_.hasPartialEvent(); }
-    // The endpoint broke off; another one goes on after lastId().
+    // The stream failed and another endpoint continues it after lastId().
     void resume();
-    // Id of the last whole event that the client got; empty before the first.
+    // Id of the last complete event sent to the client; empty before the first.
     const std::string &lastId() const { return lastId_; }
-    // An event after a resume does not follow the last one: something is missing.
+    // True if the first event after a resume did not follow the last one, so events are missing.
     bool hasGap() const { return hasGap_; }
-    // When the client's first event was ready; nothing before it.
+    // When the first event was ready for the client.
     std::optional<units::TimePoint> firstEventAt() const { return firstEventAt_; }
-    // The longest pause between two events so far, in which the endpoint made nothing or nothing
-    // arrived here; zero with fewer than two.
+    // The longest time between two successive events so far, whether due to the endpoint or the
+    // network; zero with fewer than two events.
     units::Duration longestPause() const { return longestPause_; }
 
 private:
-    std::string withoutKnown(const std::string &whole);
+    std::string removeKnownEvents(const std::string &whole);
 
     httpio::SseEventBuffer events_;
     std::string lastId_;
--- a/include/monsoongrade/gateway/exchange.h
+++ b/include/monsoongrade/gateway/exchange.h
@@ -13,9 +13,9 @@
 
 namespace monsoongrade::gateway {
 
-// One client request from its receipt to its final answer: finds an endpoint, sends the request,
-// relays the response, and decides with the routing part what follows a failure. Keeps itself
-// alive until it is finished.
+// Handles one client request from receipt to the final response: selects an endpoint, sends the
+// request, relays the response, and retries or gives up after a failure as the routing library
+// decides. Keeps itself alive until it is finished.
 class Exchange : public std::enable_shared_from_this<Exchange>, private httpio::ChannelListener
 {
 public:
@@ -27,22 +27,21 @@
     ~Exchange() override;
 
 private:
-    // What the endpoint's response is used for.
     enum class ResponseUse {
-        None, // no head yet
-        OfOtherRequest, // a late response to an earlier request; its bytes are dropped
-        Collected, // kept until it is whole, so that a broken one can be replaced
-        Relayed, // events that go to the client as they come
+        None, // no response head received yet
+        OfOtherRequest, // a late response to an earlier request; discarded
+        Collected, // buffered until complete, so that a truncated one can be replaced by a retry
+        Relayed, // events are passed on to the client as they arrive
     };
 
     void run();
-    // Decides whether the request is served; waits while the host reads its first configuration.
+    // Decides whether the request is served. Waits while the host reads its first configuration.
     void admit();
 
     // Sending
-    void attempt();
+    void startAttempt();
     void onPlaced(const routing::PlacementTicket &ticket, routing::PlacementChoice choice);
-    void logPlaced(units::Duration placing) const;
+    void logPlaced(units::Duration placementTime) const;
     void onConnection(ConnectOutcome outcome, std::shared_ptr<httpio::Channel> channel);
     void send();
     httpio::Headers endpointHeaders() const;
@@ -53,30 +52,30 @@
     void onResponseEnd() override;
     void onChannelFailure(httpio::ChannelFailure failure) override;
     void relay(std::string_view bytes);
-    void endRelay();
-    void judgeCollected();
+    void finishRelay();
+    void onCollectedEnd();
     void deliverCollected();
-    void slowDownIfUnsent();
-    void noteFirstByte();
-    void noteBegan();
-    void noteLimit();
+    void throttleIfBacklogged();
+    void onFirstByte();
+    void countUsage();
+    void updateLimit();
 
     // Failures
-    void attemptFailed(units::ResultCode reason, bool mayHaveRun);
+    void onAttemptFailed(units::ResultCode reason, bool mayHaveRun);
     routing::AttemptFailure describeFailure(bool timedOut);
-    bool canSendAgain();
+    bool canRetry();
     void giveUp(routing::NextStep step, units::ResultCode reason);
-    void refuse(int status, units::ResultCode reason, bool mayComeBack);
-    void watchSilence(units::Duration limit);
-    void onSilence();
+    void refuse(int status, units::ResultCode reason, bool mayRetry);
+    void startSilenceTimer(units::Duration limit);
+    void onSilenceTimeout();
     void onDeadline();
     void onClientDisconnected();
 
-    void suspectIfSilent();
-    void releaseEndpoint(routing::PlacementEvent news = routing::PlacementEvent::Withdrawn);
-    void endpointFailed();
-    void noteCrash();
-    void noteCompleted();
+    void reportIfSilent();
+    void releaseEndpoint(routing::PlacementEvent event = routing::PlacementEvent::Withdrawn);
+    void onEndpointFailure();
+    void recordCrash();
+    void recordCompletion();
     std::optional<units::Duration> quarantineRemaining();
     void dropChannel();
     void logEnd(std::string_view outcome, int status, units::ResultCode reason) const;
@@ -88,7 +87,7 @@
     GatewayState &state_;
     httpio::ServerRequest request_;
     std::shared_ptr<httpio::ResponseWriter> reply_;
-    routing::RequestMetadata facts_;
+    routing::RequestMetadata metadata_;
     std::optional<routing::RequestIdentity> identity_; // hashed when first needed
     std::shared_ptr<const routing::RouteTable> table_; // keeps route_ alive
     routing::Admission admission_;
@@ -100,11 +99,11 @@
     httpio::Timers::Handle silenceTimer_;
     httpio::Timers::Handle suspicionTimer_;
 
-    // The present attempt
+    // The current attempt
     routing::EndpointRegistry::Status endpoint_;
     routing::PlacementTicket ticket_;
-    std::uint64_t placingNumber_ = 0;
-    units::TimePoint placingSince_;
+    std::uint64_t placementNumber_ = 0;
+    units::TimePoint placementStartedAt_;
     bool isPlacing_ = false;
     std::int64_t tokensToRead_ = 0;
     std::shared_ptr<httpio::Channel> channel_;
@@ -117,16 +116,16 @@
 
     // Over all attempts
     routing::PlacementQuery query_;
-    int sends_ = 0; // that count against the route's attempts
-    int arrivals_ = 0; // that count against the retry budget
+    int sends_ = 0; // counted against the route's maximum number of attempts
+    int totalSends_ = 0; // counted against the retry budget
     bool mayHaveRun_ = false;
-    bool hasBegun_ = false; // some endpoint began to run it
-    std::optional<units::Duration> comeBackIn_; // the placing host's word with its refusal
+    bool isUsageCounted_ = false; // an endpoint began to run the request
+    std::optional<units::Duration> retryDelay_; // given with a refused placement
     EventRelay events_;
     bool responseBegun_ = false;
-    bool clientGone_ = false;
+    bool clientDisconnected_ = false;
     bool finished_ = false;
-    // An error response that the client gets if no further attempt brings a better one.
+    // Error response of an earlier attempt, sent to the client if no later attempt succeeds.
     std::optional<httpio::MessageHead> fallbackHead_;
     std::string fallbackBody_;
 };
--- a/include/monsoongrade/gateway/gateway.h
+++ b/include/monsoongrade/gateway/gateway.h
@@ -16,70 +16,70 @@
 
 namespace monsoongrade::gateway {
 
-// One entry host's part of the system: serves callers by the configuration and endpoints that it
-// is given, and keeps in touch with the other hosts. Knows nothing of the platform's formats.
+// The gateway of one host: serves callers according to the configuration and endpoints passed to
+// it, and exchanges state with the other hosts. Independent of the platform's formats.
 class Gateway
 {
 public:
-    using Page = std::function<void(const Gateway &, const httpio::ServerRequest &,
-                                    httpio::ResponseWriter &)>;
+    using PageHandler = std::function<void(const Gateway &, const httpio::ServerRequest &,
+                                           httpio::ResponseWriter &)>;
     struct PageHandlers
     {
-        Page readiness;
-        Page directory;
+        PageHandler readiness;
+        PageHandler directory;
     };
 
     Gateway(asio::io_context &io, httpio::Timers &timers, const GatewaySettings &settings,
-            const HeaderCodec &dialect, PageHandlers pages);
+            const HeaderCodec &headerCodec, PageHandlers pages);
 
-    // Opens the listening sockets and begins to talk to the other hosts.
+    // Opens the listening sockets and starts gossip with the other hosts.
     void start();
 
-    // A newer configuration; an older one than that in force is ignored.
+    // Applies the configuration if its revision is newer than the one in force.
     void applyConfiguration(routing::TrafficConfiguration configuration);
-    // No configuration that was accepted before this time is missing here.
-    void markConfigurationCurrent(units::TimePoint at);
+    // Confirms that no configuration accepted before this time is missing here.
+    void markConfigurationCurrent(units::TimePoint asOf);
     void replaceEndpoints(const std::vector<routing::DiscoveredEndpoint> &endpoints,
                           units::TimePoint keepMissingUntil);
     void updateEndpoint(const routing::DiscoveredEndpoint &endpoint);
     void removeEndpoint(const units::EndpointId &id, units::TimePoint keepMissingUntil);
-    // The cells of the fleet, as told by a host that has the list of all endpoints. None: the list
-    // here is of all endpoints, and the cells follow from it.
-    void setDivision(const std::optional<routing::FleetDivision> &told);
+    // Sets the division of the fleet into cells, as received from a host that lists all endpoints.
+    // nullopt: this host lists all endpoints and computes the division itself.
+    void setDivision(const std::optional<routing::FleetDivision> &received);
     const routing::FleetDivision &division() const { return state_.registry.division(); }
 
-    // Whether the platform's store answers this host.
-    void setStoreReachable(bool hasStore) { gossip_.setStoreReachable(hasStore); }
-    // The store turned this host away though others have it.
+    // Whether the platform's store responds to this host.
+    void setStoreReachable(bool isReachable) { gossip_.setStoreReachable(isReachable); }
+    // Whether the store rejects this host while other hosts can access it.
     void setStoreRefused(bool isRefused) { gossip_.setStoreRefused(isRefused); }
-    // Fencing token of the duties' lease that this host holds; 0 if it does not.
+    // Fencing token of the duty lease if this host holds it, otherwise 0.
     void setDutyToken(std::uint64_t token) { gossip_.setDutyToken(token); }
-    // Takes requests: the configuration is there and fresh, and the host is not leaving.
+    // True if a fresh configuration is in force and the host is not leaving.
     bool isServing() const;
-    // IP:PORT addresses that callers should use now.
+    // Returns the IP:PORT addresses that callers should use now.
     std::vector<std::string> callerAddresses(const units::FailureDomain &callersDomain,
                                              std::size_t maxAddresses) const;
-    // Begins a planned stop; stopped is called when the process may end.
+    // Starts a planned stop; calls stopped when the process may exit.
     void stop(std::function<void()> stopped);
-    // Settings that may change while the process runs.
+    // Applies the settings that may change at run time.
     void reload(const GatewaySettings &settings);
 
     GatewayState &state() { return state_; }
     const GatewaySettings &settings() const { return settings_; }
-    // The hosts that are live, this one included.
+    // Returns the live hosts, including this one.
     std::vector<routing::PeerUpdate> hosts() const;
-    // IPs of the hosts that the settings name, this one perhaps among them.
+    // Returns the IPs of the seed hosts in the settings, which may include this host's.
     std::vector<std::string> seedIps() const;
 
 private:
     routing::PeerState peerState() const;
     void onGossipRound();
-    void divide(const routing::FleetDivision &division);
-    void divideByOwnList();
-    void setPlacingOrders(const std::vector<routing::PeerUpdate> &live);
-    void onRateLimitUpdate(const routing::RateLimitUpdate &news);
-    void noteOwnState();
-    void noteHosts(const std::vector<routing::PeerUpdate> &hosts);
+    void applyDivision(const routing::FleetDivision &division);
+    void computeDivision();
+    void updateCoordinatorRankings(const std::vector<routing::PeerUpdate> &live);
+    void onRateLimitUpdate(const routing::RateLimitUpdate &update);
+    void publishOwnState();
+    void logHostChanges(const std::vector<routing::PeerUpdate> &hosts);
     void waitForOpenRequests();
     void serveMetrics(const httpio::ServerRequest &request, httpio::ResponseWriter &reply);
 
@@ -98,7 +98,7 @@
     bool leaving_ = false;
     routing::PeerState lastState_ = routing::PeerState::NotReady;
     std::vector<std::string> lastHosts_; // sorted
-    units::WorkCount hostsCompared_; // to order them
+    units::WorkCount hostsCompared_; // comparisons made when ordering hosts
     units::TimePoint stopBy_;
     std::function<void()> stopped_;
 };
--- a/include/monsoongrade/gateway/gatewaysettings.h
+++ b/include/monsoongrade/gateway/gatewaysettings.h
@@ -13,13 +13,13 @@
 
 namespace monsoongrade::gateway {
 
-// Settings of one gateway process. docs/REFERENCE.md describes each key.
+// Settings of a gateway process. docs/REFERENCE.md describes each key.
 struct GatewaySettings
 {
     units::HostName host;
     std::string ip;
     units::FailureDomain failureDomain;
-    // IP:PORT that this process listens on.
+    // Listening addresses, as IP:PORT.
     std::string callersAddress;
     std::string readinessAddress;
     std::string directoryAddress;
@@ -27,22 +27,22 @@
     std::uint16_t gossipPort = 0;
     std::uint16_t placementPort = 0;
     std::uint16_t relayPort = 0;
-    std::vector<std::string> seeds; // IP:PORT of hosts that may run; only the IP counts
+    std::vector<std::string> seeds; // IP:PORT of hosts that may be running; the port is ignored
     std::string storeAddress;
-    double cpuShare = 1; // of processor cores that the process may use
+    double cpuShare = 1; // number of processor cores that the process may use
     std::int64_t memoryMegabytes = 256;
     std::int64_t maxDescriptors = 1024;
-    // A revoked key stops working within this time, also on a host that is cut off; 0: no bound.
+    // A revoked key is rejected after at most this time, also by a partitioned host; 0: no bound.
     units::Duration revocationBound = std::chrono::seconds(5);
-    // From the stop signal until the platform kills the process.
+    // Time from the stop signal until the platform kills the process.
     units::Duration stopWithin = std::chrono::seconds(8);
     routing::RetryLimit retryLimit;
     std::string logLevel = "info";
-    // IP:PORT of the platform's calls that one host at a time makes for all; empty: there are none.
+    // IP:PORT of the platform API that the duty lease's holder calls; empty disables the duties.
     std::string dutiesAddress;
-    std::uint16_t countsPort = 0; // where hosts tell each other what they count
-    // How long a host holds the duties' lease after a renewal, and leaves it to others after a
-    // loss.
+    std::uint16_t countsPort = 0; // on which hosts exchange usage counts
+    // How long the duty lease is valid after a renewal, and how long a host that lost the lease
+    // does not try to acquire it.
     units::Duration leaseDuration = std::chrono::seconds(3);
     units::Duration usageWindow{};
     units::Duration usageDueWithin = std::chrono::seconds(10); // after the end of a window
@@ -53,7 +53,7 @@
     }
 };
 
-// Reads the YAML settings; every mistake is noted with file, line and key.
+// Parses the YAML settings and adds every error, with file, line and key, to problems.
 GatewaySettings parseGatewaySettings(const configuration::SourceFile &file,
                                      configuration::Problems &problems);
 
--- a/include/monsoongrade/gateway/gatewaystate.h
+++ b/include/monsoongrade/gateway/gatewaystate.h
@@ -21,27 +21,28 @@
 
 namespace monsoongrade::gateway {
 
-// When a leaving host stops, and from when on it takes no request that may still run then. Until
-// takesAllUntil callers may not know yet that the host leaves. A request that is taken later and
-// cut at the stop would be lost for nothing: other hosts have long been named to its caller.
+// Times of a planned stop. Until acceptsAllUntil, callers may not know yet that the host is leaving
+// and every request is accepted. After that, a request that may still be running at stopsAt is
+// refused, because its caller has been given other hosts that can complete it.
 struct PlannedStop
 {
-    units::TimePoint takesAllUntil;
+    units::TimePoint acceptsAllUntil;
     units::TimePoint stopsAt;
 
-    bool mayCut(units::TimePoint deadline, units::TimePoint now) const
+    bool shouldRefuse(units::TimePoint deadline, units::TimePoint now) const
     {
-        return now >= takesAllUntil && deadline >= stopsAt;
+        return now >= acceptsAllUntil && deadline >= stopsAt;
     }
 };
 
-// What all requests of this host share. One thread uses it; it has no lock.
+// State shared by all requests of this host. Not thread-safe.
 struct GatewayState
 {
-    GatewayState(asio::io_context &io, httpio::Timers &timersToUse, const HeaderCodec &dialectToUse,
-                 routing::FreshnessLease leaseToUse, PlacementService::Settings placementSettings)
+    GatewayState(asio::io_context &io, httpio::Timers &timersToUse,
+                 const HeaderCodec &headerCodecToUse, routing::FreshnessLease leaseToUse,
+                 PlacementService::Settings placementSettings)
         : timers(timersToUse)
-        , dialect(dialectToUse)
+        , headerCodec(headerCodecToUse)
         , lease(leaseToUse)
         , connections(io, timersToUse)
         , registry(
@@ -53,7 +54,7 @@
     }
 
     httpio::Timers &timers;
-    const HeaderCodec &dialect;
+    const HeaderCodec &headerCodec;
     std::shared_ptr<const routing::RouteTable> table; // null until the first configuration
     routing::FreshnessLease lease;
     EndpointConnections connections;
@@ -64,14 +65,13 @@
     std::unordered_map<std::string, routing::RetryAllowance> retryAllowances; // by pool
     httpio::ServerLimits callerLimits;
     units::FailureDomain ownDomain;
-    int liveHosts = 1; // this one included
-    int openRequests = 0; // accepted and not ended
-    // Of a planned stop; none while the host is not leaving.
-    std::optional<PlannedStop> plannedStop;
+    int liveHosts = 1; // including this one
+    int openRequests = 0; // accepted and not finished
+    std::optional<PlannedStop> plannedStop; // set while the host is leaving
     RateLimitedLog log;
     StartupGate startupGate;
     PlacementService placement;
-    std::unique_ptr<UsageMeter> usage; // null if the platform asks for no usage reports
+    std::unique_ptr<UsageMeter> usage; // null if usage reports are disabled
 };
 
 } // namespace monsoongrade::gateway
--- a/include/monsoongrade/gateway/headercodec.h
+++ b/include/monsoongrade/gateway/headercodec.h
@@ -11,43 +11,45 @@
 
 namespace monsoongrade::gateway {
 
-// What the gateway tells an endpoint about a request.
+// Attributes of a request that the gateway passes to an endpoint in headers.
 struct EndpointRequest
 {
     units::EndpointId endpoint; // any other endpoint must reject the request
     units::WorkspaceName workspace; // empty if there is none
     units::Duration timeLeft{};
     units::Tier tier;
-    std::string resumeAfter; // id of the last event that the client has; empty at the start
+    std::string resumeAfter; // id of the last event the client has; empty for a new stream
 };
 
-// What an endpoint's response says besides its status and body.
+// Attributes of an endpoint's response, decoded from its headers.
 struct EndpointResponseInfo
 {
-    units::RequestId request; // the request that it belongs to; empty if not given
+    units::RequestId request; // the request that it answers; empty if not given
     bool provenNotRun = false;
-    bool wrongEndpoint = false; // another endpoint has the address
-    bool isSigned = false; // carries the proof without which a success does not count
-    // What the endpoint takes from all hosts together while it is in need; none: no limit.
+    bool wrongEndpoint = false; // another endpoint has the address now
+    bool isSigned = false; // has the signature without which a success is not accepted
+    // Rate that an overloaded endpoint accepts from all hosts together; nullopt: no limit.
     std::optional<routing::RequestsPerSecond> requestLimit;
-    bool isLimitUnreadable = false; // it named a limit that is no number of 0 or more
-    std::optional<std::chrono::seconds> idleTimeout; // when the endpoint closes idle connections
+    bool isLimitUnreadable = false; // the limit given is not a number >= 0
+    std::optional<std::chrono::seconds> idleTimeout; // after which it closes idle connections
 };
 
-// Header names and formats of the platform, kept out of the code that forwards requests.
+// Encodes and decodes the platform's headers, so that the forwarding code does not depend on their
+// names and formats.
 class HeaderCodec
 {
 public:
     virtual ~HeaderCodec() = default;
     virtual routing::RequestMetadata decodeRequest(const httpio::Headers &headers) const = 0;
-    // The client's headers for the endpoint: without the key and without what only the gateway may
-    // set, and with that.
+    // Returns the headers for the endpoint: those of the client without its API key and without
+    // headers reserved for the gateway, and the reserved ones as set by the gateway.
     virtual httpio::Headers endpointHeaders(const httpio::Headers &client,
                                             const EndpointRequest &request) const = 0;
     virtual EndpointResponseInfo decodeResponse(const httpio::MessageHead &head) const = 0;
-    // The endpoint's headers for the client.
+    // Returns those of the endpoint's headers that are passed on to the client.
     virtual httpio::Headers clientHeaders(const httpio::Headers &endpoint) const = 0;
-    // Headers of the gateway's own response. retryAfter is given if the client should come back.
+    // Returns the headers of a response made by the gateway. retryAfter is set if the client should
+    // retry.
     virtual httpio::Headers gatewayHeaders(const units::RequestId &request,
                                            std::optional<units::Duration> retryAfter) const = 0;
 };
--- a/include/monsoongrade/gateway/peergossip.h
+++ b/include/monsoongrade/gateway/peergossip.h
@@ -15,11 +15,11 @@
 
 namespace monsoongrade::gateway {
 
-// Tells other hosts in datagrams that this one runs and what it knows of others, and hears the
-// same from them. Each round goes to a bounded number of hosts, so the traffic of one host does
-// not grow with their number. A host that is heard of for the first time gets an answer at once,
-// so that a starting one knows others, and who reads the store, after one round trip.
-// GossipPlanner decides whom a round goes to and what it tells.
+// Exchanges membership and other shared state with the other hosts in UDP datagrams. Each round
+// sends to a bounded number of hosts, so the traffic of a host does not grow with the fleet. A host
+// that was not known to be live gets a reply at once, so that a starting host knows others, and
+// which hosts read the store, after one round trip. GossipPlanner selects the recipients and the
+// content of each round.
 class PeerGossip
 {
 public:
@@ -32,49 +32,49 @@
         std::vector<std::string> seedIps;
     };
 
-    // crashes and limits are told to the other hosts, and crashes brought up to date with what
-    // they tell.
+    // crashes and limits are sent to the other hosts; crashes received from them are merged into
+    // crashes.
     PeerGossip(asio::io_context &io, httpio::Timers &timers, Settings settings,
                routing::CrashTracker &crashes, routing::RateLimitTable &limits);
 
     void start();
-    // What this host says of itself; a change is told at once.
+    // Sets this host's own state and sends a change immediately.
     void setState(routing::PeerState state);
-    // Whether the last call to the store, or to a host that passes it on, went well.
-    void setStoreReachable(bool hasStore);
-    // Whether the store turned this host away though others have it.
+    // Whether the last call to the store, direct or through another host, succeeded.
+    void setStoreReachable(bool isReachable);
+    // Whether the store rejects this host while other hosts can access it.
     void setStoreRefused(bool isRefused) { isStoreRefused_ = isRefused; }
-    // Fencing token of the duties' lease that this host holds; 0 if it does not.
+    // Fencing token of the duty lease if this host holds it, otherwise 0.
     void setDutyToken(std::uint64_t token) { dutyToken_ = token; }
-    // Called with the time of day that another host's clock showed, since 1970.
+    // The handler is called with the IP of another host and the time since 1970 on its clock.
     void onWallTime(std::function<void(const std::string &, units::Duration)> handler)
     {
         onWallTime_ = std::move(handler);
     }
-    // Called with the limit of an endpoint that another host tells.
+    // The handler is called with each endpoint limit received from another host.
     void onLimit(std::function<void(const routing::RateLimitUpdate &)> handler)
     {
         onLimit_ = std::move(handler);
     }
-    // Called after each round, with the hosts that are live.
+    // The handler is called after each round.
     void onRound(std::function<void()> handler) { onRound_ = std::move(handler); }
     const routing::PeerTable &table() const { return table_; }
     std::vector<routing::PeerUpdate> live() const { return table_.live(timers_.now()); }
-    // What this host says of itself now.
+    // Returns this host's current description of itself.
     routing::PeerUpdate own() const;
 
 private:
     void receive();
     void round();
-    void tell();
+    void sendRound();
     void send(const std::string &ip, const std::string &datagram);
     std::string encode(const std::vector<routing::PeerUpdate> &others) const;
     std::string encodeProbe() const;
-    std::string encodeNews(const std::vector<routing::CrashUpdate> &crashes,
-                           const std::vector<routing::RateLimitUpdate> &limits) const;
+    std::string encodeUpdates(const std::vector<routing::CrashUpdate> &crashes,
+                              const std::vector<routing::RateLimitUpdate> &limits) const;
     void decode(const std::string &datagram);
-    void welcome(const std::string &newcomer);
-    void noteWallTime(const std::string &host, units::Duration sinceEpoch);
+    void sendInitialState(const std::string &joiningHost);
+    void reportWallTime(const std::string &host, units::Duration sinceEpoch);
 
     asio::ip::udp::socket socket_;
     asio::ip::udp::endpoint sender_;
@@ -89,11 +89,11 @@
     std::function<void(const routing::RateLimitUpdate &)> onLimit_;
     std::function<void(const std::string &, units::Duration)> onWallTime_;
     units::TimePoint startedAt_;
-    bool hasStore_ = false;
+    bool isStoreReachable_ = false;
     bool isStoreRefused_ = false;
     std::uint64_t dutyToken_ = 0;
-    units::TimePoint storeSince_{};
-    routing::GossipPlanner rounds_;
+    units::TimePoint storeReachableSince_{};
+    routing::GossipPlanner planner_;
 };
 
 } // namespace monsoongrade::gateway
--- a/include/monsoongrade/gateway/placementservice.h
+++ b/include/monsoongrade/gateway/placementservice.h
@@ -18,23 +18,23 @@
 namespace monsoongrade::gateway {
 
 namespace internal {
-struct AskMessage;
+struct QueryMessage;
 struct AnswerMessage;
-struct NewsMessage;
+struct EventMessage;
 struct CachedPartsMessage;
 struct StillWaitingMessage;
 struct NotWaitingMessage;
 } // namespace internal
 
-// Places requests on endpoints, with the help of the other hosts for model pools: the hosts agree
-// on one of those that serve, which places the requests of all and so knows the load of each
-// endpoint, and tells those that would take over what is cached where. If that host does not answer
-// two asks within milliseconds, this one decides alone with what it knows; nobody waits for a
-// failed host to be noticed.
+// Places requests on endpoints. For model pools, the hosts agree on one serving host as the
+// coordinator, which places the requests of all hosts and so knows the load of each endpoint. It
+// tells its successors which prompt parts are cached on which endpoint. If the coordinator does not
+// answer two queries within milliseconds, this host places the request itself with the load that it
+// knows, so no request waits until the failure of a host is detected.
 class PlacementService
 {
 public:
-    using Placed = std::function<void(routing::PlacementTicket, routing::PlacementChoice)>;
+    using PlacedHandler = std::function<void(routing::PlacementTicket, routing::PlacementChoice)>;
 
     struct Settings
     {
@@ -46,68 +46,70 @@
                      const routing::EndpointRegistry &registry, observability::Metrics &metrics);
 
     void start() { receive(); }
-    // Hosts that may place for others, best first: of the whole fleet, and of this host's cell for
-    // pools that are divided. Called several times a second; also tells the successors what this
-    // host has placed.
-    void setOrders(std::vector<std::string> ofFleet, std::vector<std::string> ofCell);
+    // Sets the hosts that may be coordinator, in order of preference: in the whole fleet, and in
+    // this host's cell for divided pools. Called several times a second; also sends the successors
+    // which prompt parts this host has placed since the last call.
+    void setCoordinatorRankings(std::vector<std::string> ofFleet, std::vector<std::string> ofCell);
 
-    // Hosts that share the limit of an endpoint where each places for itself, and this one's place
-    // among them, from 0.
-    void setLiveHosts(int hosts, int ownPlace);
-    // The endpoint's latest word on its limit. Returns whether it changed.
+    // Sets the number of hosts that share an endpoint's limit in pools where each host places its
+    // own requests, and this host's index among them, from 0.
+    void setLiveHosts(int hosts, int ownIndex);
+    // Sets the latest limit received from the endpoint. Returns whether it changed.
     bool setLimit(routing::EndpointStatus &endpoint,
                   std::optional<routing::RequestsPerSecond> limit);
 
-    // Chooses an endpoint; placed is called once, perhaps before this returns, unless the request
-    // is withdrawn. Returns the number of its ticket.
-    std::uint64_t place(const routing::PlacementQuery &query, Placed placed);
-    // The request that waits for its endpoint is over.
+    // Chooses an endpoint. Unless the request is withdrawn, calls placed once, possibly before this
+    // function returns. Returns the number of the request's ticket.
+    std::uint64_t place(const routing::PlacementQuery &query, PlacedHandler placed);
+    // Cancels a request that is not placed yet.
     void withdraw(std::uint64_t number);
-    void tell(const routing::PlacementTicket &ticket, routing::PlacementEvent news);
-    // The host that chose the endpoint of the open request; this one's own IP if it did.
+    // Reports an event of a placed request to the host that placed it.
+    void report(const routing::PlacementTicket &ticket, routing::PlacementEvent event);
+    // Returns the IP of the host that chose the open request's endpoint.
     const std::string &placedBy(const routing::PlacementTicket &ticket) const;
-    // True if this host chose the endpoint of the open request itself.
+    // True if this host chose the open request's endpoint.
     bool isPlacedHere(const routing::PlacementTicket &ticket) const
     {
-        return deciders_.count(ticket.number) == 0;
+        return coordinators_.count(ticket.number) == 0;
     }
-    // Requests of all hosts that this one has placed and not heard the end of.
-    std::size_t openRequests() const { return desk_.openRequests(); }
-    // True if place() could find an endpoint here.
+    // Number of requests, of all hosts, that this host has placed and whose end was not reported.
+    std::size_t openRequests() const { return placer_.openRequests(); }
+    // True if place() could find an endpoint on this host.
     bool hasEndpoint(const routing::PlacementQuery &query) const;
 
 private:
-    struct Ask
+    // A request that another host was asked to place.
+    struct PendingQuery
     {
         routing::PlacementQuery query;
-        Placed placed;
-        std::string decider;
-        units::TimePoint askedAt; // when query was last brought up to date
+        PlacedHandler placed;
+        std::string coordinator;
+        units::TimePoint updatedAt; // when the times in query were last updated
         units::TimePoint sentAt;
-        bool isWaiting = false; // in the decider's queue
+        bool isWaiting = false; // in the coordinator's queue
         bool wasRepeated = false;
         httpio::Timers::Handle timeout;
     };
-    const std::vector<std::string> &orderFor(const units::PoolName &pool) const;
+    const std::vector<std::string> &rankingFor(const units::PoolName &pool) const;
     std::vector<std::string> successors() const;
-    void tellSuccessors();
-    void ask(std::uint64_t number, Ask ask);
-    void placeAlone(std::uint64_t number, const routing::PlacementQuery &query,
-                    const Placed &placed);
+    void updateSuccessors();
+    void sendOrPlace(std::uint64_t number, PendingQuery pending);
+    void placeLocally(std::uint64_t number, const routing::PlacementQuery &query,
+                      const PlacedHandler &placed);
     void onTimeout(std::uint64_t number);
-    bool isLostAfterMiss(const std::string &host, units::TimePoint asked);
-    void planWaitingCheck();
+    bool isLostAfterTimeout(const std::string &host, units::TimePoint sentAt);
+    void scheduleWaitingCheck();
     void checkWaiting();
-    void onCheckUnanswered(const std::string &host, units::TimePoint asked);
+    void onCheckTimeout(const std::string &host, units::TimePoint sentAt);
     void receive();
     void onDatagram(std::string_view datagram);
-    void onMessage(const std::string &host, const internal::AskMessage &message);
+    void onMessage(const std::string &host, const internal::QueryMessage &message);
     void onMessage(const std::string &host, const internal::AnswerMessage &message);
-    void onMessage(const std::string &host, const internal::NewsMessage &message);
+    void onMessage(const std::string &host, const internal::EventMessage &message);
     void onMessage(const std::string &host, const internal::CachedPartsMessage &message);
     void onMessage(const std::string &host, const internal::StillWaitingMessage &message);
     void onMessage(const std::string &host, const internal::NotWaitingMessage &message);
-    void placeWaitingSoon();
+    void schedulePlaceWaiting();
     void placeWaiting();
     void send(const std::string &ip, const std::string &datagram);
 
@@ -118,20 +120,20 @@
     Settings settings_;
     const routing::EndpointRegistry &registry_;
     observability::Metrics &metrics_;
-    std::vector<std::string> orderOfFleet_;
-    std::vector<std::string> orderOfCell_;
-    routing::RequestPlacer desk_;
-    std::unordered_map<std::uint64_t, Ask> asks_;
-    routing::CoordinatorSelector trust_;
-    // Checks of waiting requests that are not answered yet, by host.
+    std::vector<std::string> fleetRanking_;
+    std::vector<std::string> cellRanking_;
+    routing::RequestPlacer placer_;
+    std::unordered_map<std::uint64_t, PendingQuery> pending_;
+    routing::CoordinatorSelector selector_;
+    // Timeouts of unanswered checks for waiting requests, by host.
     std::unordered_map<std::string, httpio::Timers::Handle> openChecks_;
-    // Who placed an open request, unless this host did.
-    std::unordered_map<std::uint64_t, std::string> deciders_;
-    std::unordered_map<std::uint64_t, Placed> ownWaiting_; // placed here, by number
+    // Hosts that placed this host's open requests, other than this host, by number.
+    std::unordered_map<std::uint64_t, std::string> coordinators_;
+    std::unordered_map<std::uint64_t, PlacedHandler> localWaiting_; // in this host's queue
     std::uint64_t lastNumber_;
-    double phase_ = 0; // this host's place among the live ones, 0 to 1
-    bool isPlacingPlanned_ = false;
-    bool isCheckPlanned_ = false;
+    double phase_ = 0; // this host's index divided by the number of live hosts
+    bool isPlacingScheduled_ = false;
+    bool isCheckScheduled_ = false;
 };
 
 } // namespace monsoongrade::gateway
--- a/include/monsoongrade/gateway/quarantinepersister.h
+++ b/include/monsoongrade/gateway/quarantinepersister.h
@@ -9,9 +9,9 @@
 
 namespace monsoongrade::gateway {
 
-// Saves what is in quarantine, and reads it when the host starts: when all hosts are lost at once,
-// none is left to tell. Only hosts that saw an endpoint crash under a request save it, so the calls
-// to the store do not grow with the number of hosts.
+// Saves quarantined requests to the store and loads them when the host starts, so that the
+// quarantine survives the loss of all hosts at once. Only hosts that saw an endpoint crash while it
+// ran a request save that request, so the number of store calls does not grow with the fleet.
 class QuarantinePersister
 {
 public:
@@ -28,7 +28,7 @@
     httpio::Timers &timers_;
     routing::CrashTracker &crashes_;
     routing::QuarantineStore &store_;
-    std::set<routing::RequestIdentity> saved_; // or being saved
+    std::set<routing::RequestIdentity> saved_; // saved, or being saved
 };
 
 } // namespace monsoongrade::gateway
--- a/include/monsoongrade/gateway/ratelimitedlog.h
+++ b/include/monsoongrade/gateway/ratelimitedlog.h
@@ -13,14 +13,15 @@
 
 namespace monsoongrade::gateway {
 
-// Log lines with a fixed budget per event and second, so that a burst of refusals costs a bounded
-// share of the processor. Suppressed lines are counted and reported once a second.
+// Writes log lines with a fixed budget per event and second, so that a burst of refusals uses a
+// bounded share of the CPU. Suppressed lines are counted and reported at most once a second.
 class RateLimitedLog
 {
 public:
     explicit RateLimitedLog(httpio::Timers &timers);
 
-    // True if a line of this event may be written now; false lines are counted.
+    // Returns whether a line of this event may be written now, and counts it against the budget or
+    // as suppressed.
     bool mayWrite(std::string_view event);
     void write(observability::LogLevel level, std::string_view event,
                std::initializer_list<observability::LogField> fields);
--- a/include/monsoongrade/gateway/startupgate.h
+++ b/include/monsoongrade/gateway/startupgate.h
@@ -8,34 +8,35 @@
 
 namespace monsoongrade::gateway {
 
-// Lets requests wait that arrive at a host which has just started and still reads its first
-// configuration and endpoints.
+// Holds back requests that arrive while a starting host reads its first configuration and endpoint
+// list.
 //
-// The load it answers: all hosts lose power and return within a moment. Callers connect at once,
-// while all hosts read the same large configuration through the store's link, which takes half a
-// second for 200 of them. Refused, a request would use up its client's retry; here it waits for
-// what is under way. The wait is bounded from the start of the process, so a host that finds no
-// store refuses at once.
+// After a power loss of the whole fleet, callers connect at once while all hosts read the same
+// large configuration over the store's link, which takes half a second for 200 hosts. Refusing
+// these requests would use up their clients' retries. The wait is limited from the start of the
+// process, so that a host without access to the store soon refuses requests immediately.
 class StartupGate
 {
 public:
     explicit StartupGate(httpio::Timers &timers);
 
-    // A configuration is in force here, and a list of endpoints is known.
+    // A configuration is in force.
     void onConfiguration();
+    // A list of endpoints is known.
     void onEndpoints();
 
-    // True if requests shall wait: something is missing and the wait is not over.
-    bool isAwaited() const;
-    // Calls the function once nothing is missing or the wait is over. Only while isAwaited().
-    void await(std::function<void()> function);
+    // True while requests have to wait: something is missing and the time limit is not reached.
+    bool isClosed() const;
+    // Calls the function once both are known or the time limit is reached. Call only while
+    // isClosed().
+    void callWhenOpen(std::function<void()> function);
 
 private:
-    void release();
+    void callWaiting();
     bool isComplete() const { return hasConfiguration_ && hasEndpoints_; }
 
     httpio::Timers &timers_;
-    units::TimePoint waitEndsAt_;
+    units::TimePoint opensAt_;
     bool hasConfiguration_ = false;
     bool hasEndpoints_ = false;
     bool isTimerSet_ = false;
--- a/include/monsoongrade/gateway/usagemeter.h
+++ b/include/monsoongrade/gateway/usagemeter.h
@@ -16,8 +16,8 @@
 
 namespace monsoongrade::gateway {
 
-// Counts the requests of each workspace that begin to run, and tells the counts in datagrams to the
-// hosts that keep them, the lease's holder among these.
+// Counts the requests of each workspace that begin to run, and sends the counts in datagrams to the
+// hosts that collect them, which include the holder of the duty lease.
 class UsageMeter
 {
 public:
@@ -28,17 +28,18 @@
         duties::UsageWindows windows;
     };
 
-    // hosts: all that are live, this one included.
+    // hosts returns all live hosts, including this one.
     UsageMeter(asio::io_context &io, httpio::Timers &timers, Settings settings,
                std::function<std::vector<routing::PeerUpdate>()> hosts);
 
     void start();
-    // A request of the workspace began to run just now.
-    void onBegan(const units::WorkspaceName &workspace);
-    // What another host's clock showed just now.
+    // Counts a request of the workspace that has just begun to run.
+    void onRequestStarted(const units::WorkspaceName &workspace);
+    // Records the current time on another host's clock.
     void onWallTime(const std::string &host, units::Duration sinceEpoch);
-    // Tells the keepers what they have not been told; at a planned stop nothing is to be lost.
-    void tell();
+    // Sends the counts that are due to the collecting hosts; also called at a planned stop, so that
+    // no counts are lost.
+    void sendCounts();
 
     const duties::UsageLedger &ledger() const { return ledger_; }
     const duties::WallTimeEstimate &wallTime() const { return wallTime_; }
@@ -59,7 +60,7 @@
     std::function<std::vector<routing::PeerUpdate>()> hosts_;
     duties::UsageLedger ledger_;
     duties::WallTimeEstimate wallTime_;
-    duties::UsagePublisher telling_;
+    duties::UsagePublisher publisher_;
 };
 
 } // namespace monsoongrade::gateway
--- a/src/gateway/directory.cpp
+++ b/src/gateway/directory.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// A quarter of them can be stopped at once, and a caller still has several to try.
+// Leaves a caller several hosts to try while a quarter of them is stopped at once.
 constexpr std::size_t MinHostsInDomain = 8;
 
 std::uint64_t rankOf(const std::string &ip, const units::FailureDomain &callersDomain)
@@ -16,18 +16,18 @@
     return units::spreadHash({callersDomain.value(), ip});
 }
 
-std::vector<std::string> chooseAmong(const std::vector<routing::PeerUpdate> &hosts,
+std::vector<std::string> selectHosts(const std::vector<routing::PeerUpdate> &hosts,
                                      const units::FailureDomain &callersDomain,
                                      std::size_t maxHosts)
 {
     std::vector<std::string> all;
-    std::vector<std::string> near;
+    std::vector<std::string> inDomain;
     for (const routing::PeerUpdate &host : hosts) {
         all.push_back(host.ip);
         if (host.failureDomain == callersDomain)
-            near.push_back(host.ip);
+            inDomain.push_back(host.ip);
     }
-    std::vector<std::string> &chosen = near.size() >= MinHostsInDomain ? near : all;
+    std::vector<std::string> &chosen = inDomain.size() >= MinHostsInDomain ? inDomain : all;
     if (chosen.size() > maxHosts) {
         std::sort(chosen.begin(), chosen.end(), [&](const auto &a, const auto &b) {
             return rankOf(a, callersDomain) < rankOf(b, callersDomain);
@@ -52,9 +52,9 @@
         std::copy_if(live.begin(), live.end(), std::back_inserter(found),
                      [wanted](const routing::PeerUpdate &peer) { return peer.state == wanted; });
         if (!found.empty())
-            return chooseAmong(found, callersDomain, maxHosts);
+            return selectHosts(found, callersDomain, maxHosts);
     }
-    // All are leaving; this one still takes requests for a moment.
+    // All hosts are leaving; this one still accepts requests for a short time.
     return {own.ip};
 }
 
--- a/src/gateway/dutyservice.cpp
+++ b/src/gateway/dutyservice.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr auto RoundInterval = std::chrono::milliseconds(100);
-// Endpoints are ordered by what the store showed within this time.
+// Pools are scaled only while the endpoint list read from the store is at most this old.
 constexpr auto MaxListAge = std::chrono::milliseconds(2500);
 
 } // namespace
@@ -18,23 +18,24 @@
                          duties::DutyPlatform &platform, const units::Clock &clock)
     : timers_(timers)
     , gateway_(gateway)
-    , holder_({gateway.state().usage->ledger().sourceId(), gateway.settings().leaseDuration,
+    , runner_({gateway.state().usage->ledger().sourceId(), gateway.settings().leaseDuration,
                gateway.settings().leaseDuration},
               stores.lease, clock)
-    , usage_(gateway.state().usage->windows(), gateway.state().usage->ledger(),
-             gateway.state().usage->wallTime(), stores.reports, platform, clock)
-    , sizing_({})
-    , workers_(*this, sizing_, stores.baselines, platform, gateway.state().log.metrics, clock)
+    , usageReporter_(gateway.state().usage->windows(), gateway.state().usage->ledger(),
+                     gateway.state().usage->wallTime(), stores.reports, platform, clock)
+    , preemptibleSpread_({})
+    , autoscaler_(*this, preemptibleSpread_, stores.baselines, platform,
+                  gateway.state().log.metrics, clock)
 {
-    holder_.add(usage_);
-    holder_.add(workers_);
+    runner_.add(usageReporter_);
+    runner_.add(autoscaler_);
 }
 
 void DutyService::stop()
 {
     isStopping_ = true;
-    holder_.stop();
-    gateway_.setDutyToken(holder_.currentToken().value());
+    runner_.stop();
+    gateway_.setDutyToken(runner_.currentToken().value());
 }
 
 std::vector<scaling::ScaledPool> DutyService::pools() const
@@ -62,8 +63,8 @@
     const bool isCandidate = !isStopping_
         && std::find(candidates.begin(), candidates.end(), gateway_.settings().ip)
             != candidates.end();
-    holder_.run(isCandidate);
-    gateway_.setDutyToken(holder_.currentToken().value());
+    runner_.run(isCandidate);
+    gateway_.setDutyToken(runner_.currentToken().value());
     timers_.after(RoundInterval, [this] { round(); });
 }
 
--- a/src/gateway/endpointconnections.cpp
+++ b/src/gateway/endpointconnections.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// A connection takes about 3 ms, a lost first packet is sent again after 1 s. An endpoint that
-// has not answered by now is better replaced by another.
+// Connecting takes about 3 ms; a lost SYN is retransmitted after 1 s. Trying another endpoint is
+// faster than waiting for the retransmission.
 constexpr auto ConnectTimeout = std::chrono::milliseconds(400);
-// An endpoint closes an idle connection at its timeout; a request sent at that moment would be
-// lost. Half a second covers the path and a late timer.
+// A request sent at the moment when the endpoint closes the idle connection would be lost. Half a
+// second covers the network latency and a late timer.
 constexpr auto CloseBeforeTimeout = std::chrono::milliseconds(500);
 constexpr auto DefaultIdleTimeout = std::chrono::seconds(60);
 
@@ -32,25 +32,25 @@
 }
 
 void EndpointConnections::acquire(const routing::EndpointStatus &endpoint, int maxOpen,
-                                  bool checkIdle, Acquired acquired)
+                                  bool checkIdle, AcquireHandler onAcquired)
 {
     const std::string key = keyOf(endpoint);
     PerEndpoint &connections = endpoints_[key];
     if (auto channel = takeIdle(connections, checkIdle)) {
-        acquired(ConnectOutcome::Connected, std::move(channel));
+        onAcquired(ConnectOutcome::Connected, std::move(channel));
         return;
     }
     if (connections.open >= maxOpen) {
-        acquired(ConnectOutcome::AtLimit, nullptr);
+        onAcquired(ConnectOutcome::AtLimit, nullptr);
         return;
     }
     const auto address = httpio::parseAddress(endpoint.registration.address);
     if (!address) {
-        forgetIfEmpty(key);
-        acquired(ConnectOutcome::Failed, nullptr);
+        eraseIfUnused(key);
+        onAcquired(ConnectOutcome::Failed, nullptr);
         return;
     }
-    connect(key, *address, std::move(acquired));
+    connect(key, *address, std::move(onAcquired));
 }
 
 std::shared_ptr<httpio::Channel> EndpointConnections::takeIdle(PerEndpoint &connections,
@@ -71,39 +71,40 @@
 }
 
 void EndpointConnections::connect(const std::string &key, const asio::ip::tcp::endpoint &address,
-                                  Acquired acquired)
+                                  AcquireHandler onAcquired)
 {
     ++endpoints_[key].open;
     ++opened_;
     auto channel = std::make_shared<httpio::Channel>(io_, address);
     auto timeout = std::make_shared<httpio::Timers::Handle>();
-    auto finish = [this, key, channel, timeout, acquired = std::move(acquired)](bool isConnected) {
-        timers_.cancel(*timeout);
-        if (isConnected) {
-            acquired(ConnectOutcome::Connected, channel);
-            return;
-        }
-        channel->close();
-        --endpoints_[key].open;
-        forgetIfEmpty(key);
-        acquired(ConnectOutcome::Failed, nullptr);
-    };
+    auto finish
+        = [this, key, channel, timeout, onAcquired = std::move(onAcquired)](bool isConnected) {
+              timers_.cancel(*timeout);
+              if (isConnected) {
+                  onAcquired(ConnectOutcome::Connected, channel);
+                  return;
+              }
+              channel->close();
+              --endpoints_[key].open;
+              eraseIfUnused(key);
+              onAcquired(ConnectOutcome::Failed, nullptr);
+          };
     *timeout = timers_.after(ConnectTimeout, [finish] { finish(false); });
     channel->connect(finish);
 }
 
-void EndpointConnections::giveBack(const routing::EndpointStatus &endpoint,
-                                   const std::shared_ptr<httpio::Channel> &channel,
-                                   std::optional<std::chrono::seconds> idleTimeout)
+void EndpointConnections::release(const routing::EndpointStatus &endpoint,
+                                  const std::shared_ptr<httpio::Channel> &channel,
+                                  std::optional<std::chrono::seconds> idleTimeout)
 {
     const std::string key = keyOf(endpoint);
     PerEndpoint &connections = endpoints_[key];
     const bool isReusable = !endpoint.leaving
-        && channel->release([this, key, raw = channel.get()] { onUnusable(key, raw); });
+        && channel->release([this, key, raw = channel.get()] { onClosed(key, raw); });
     if (!isReusable) {
         channel->close();
         --connections.open;
-        forgetIfEmpty(key);
+        eraseIfUnused(key);
         return;
     }
     const units::Duration usable
@@ -117,7 +118,7 @@
     const std::string key = keyOf(endpoint);
     channel->close();
     --endpoints_[key].open;
-    forgetIfEmpty(key);
+    eraseIfUnused(key);
 }
 
 void EndpointConnections::closeIdle(const routing::EndpointStatus &endpoint)
@@ -131,7 +132,7 @@
         --found->second.open;
     }
     found->second.idle.clear();
-    forgetIfEmpty(key);
+    eraseIfUnused(key);
 }
 
 std::size_t EndpointConnections::idle() const
@@ -142,7 +143,7 @@
     return count;
 }
 
-void EndpointConnections::onUnusable(const std::string &key, const httpio::Channel *channel)
+void EndpointConnections::onClosed(const std::string &key, const httpio::Channel *channel)
 {
     const auto found = endpoints_.find(key);
     if (found == endpoints_.end())
@@ -155,10 +156,10 @@
         return;
     idle.erase(place);
     --found->second.open;
-    forgetIfEmpty(key);
+    eraseIfUnused(key);
 }
 
-void EndpointConnections::forgetIfEmpty(const std::string &key)
+void EndpointConnections::eraseIfUnused(const std::string &key)
 {
     const auto found = endpoints_.find(key);
     if (found != endpoints_.end() && found->second.open <= 0 && found->second.idle.empty())
--- a/src/gateway/eventrelay.cpp
+++ b/src/gateway/eventrelay.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// The value of an event's "id:" line; empty without one.
+// Returns the value of the event's "id:" line, or an empty string.
 std::string_view idOf(std::string_view event)
 {
     std::size_t at = 0;
@@ -27,7 +27,7 @@
     return {};
 }
 
-std::optional<std::int64_t> numberOf(std::string_view text)
+std::optional<std::int64_t> parseNumber(std::string_view text)
 {
     std::int64_t number = 0;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number);
@@ -47,9 +47,9 @@
 
 } // namespace
 
-std::string EventRelay::take(std::string_view bytes, units::TimePoint now)
+std::string EventRelay::feed(std::string_view bytes, units::TimePoint now)
 {
-    std::string passed = withoutKnown(events_.feed(bytes));
+    std::string passed = removeKnownEvents(events_.feed(bytes));
     if (passed.empty())
         return passed;
     if (firstEventAt_)
@@ -66,7 +66,7 @@
     checkingResume_ = !lastId_.empty();
 }
 
-std::string EventRelay::withoutKnown(const std::string &whole)
+std::string EventRelay::removeKnownEvents(const std::string &whole)
 {
     std::string passed;
     std::string_view left = whole;
@@ -74,9 +74,9 @@
         const std::string_view event = left.substr(0, endOfEvent(left));
         left.remove_prefix(event.size());
         const std::string_view id = idOf(event);
-        const std::optional<std::int64_t> number = numberOf(id);
+        const std::optional<std::int64_t> number = parseNumber(id);
         if (number && !lastId_.empty() && *number <= lastNumber_)
-            continue; // the client has it
+            continue; // the client already has it
         if (checkingResume_ && number) {
             hasGap_ = hasGap_ || *number != lastNumber_ + step_;
             checkingResume_ = false;
--- a/src/gateway/exchange.cpp
+++ b/src/gateway/exchange.cpp
@@ -8,24 +8,24 @@
 
 namespace {
 
-// A plain response up to this size is collected before the client gets any of it, so that one
-// that breaks off can be replaced. Responses here have about 1 KB; a larger one is passed on as it
-// comes, to bound the memory.
+// A plain response up to this size is buffered until it is complete, so that a truncated one can be
+// replaced by a retry. Responses have about 1 KB; larger ones are passed on as they arrive, to
+// limit memory use.
 constexpr std::size_t MaxCollectedBytes = 256 * 1024;
-// More than this waiting for a slow client stops reading from the endpoint. A stream's events
-// are below 400 bytes, so this is minutes of a stream.
+// Stops reading from the endpoint while more than this waits to be sent to a slow client. An event
+// has less than 400 bytes, so this is minutes of a stream.
 constexpr std::size_t MaxUnsentBytes = 64 * 1024;
-// Share of an endpoint's connections that all hosts together use; the rest covers hosts that count
-// each other a little differently.
+// Share of an endpoint's connections that all hosts together use. The rest allows for hosts that
+// see different numbers of live hosts.
 constexpr double UsedShareOfConnections = 0.9;
 constexpr int MinConnectionsPerHost = 2;
-// For a pool that a route names and the configuration does not describe.
+// For a pool that is named by a route but missing in the configuration.
 constexpr int DefaultMaxConnections = 64;
-// Endpoints that work answer some request within this time: streams get an event every 40 to
-// 200 ms, plain requests take 60 to 450 ms.
-constexpr auto SilenceToSuspect = std::chrono::milliseconds(500);
-// Engines read about 150 prompt tokens a millisecond on an idle machine.
-constexpr std::int64_t TokensReadPerMs = 100;
+// Healthy endpoints send something within this time: streams have an event every 40 to 200 ms,
+// plain requests take 60 to 450 ms.
+constexpr auto SilenceTimeout = std::chrono::milliseconds(500);
+// Engines prefill about 150 prompt tokens per millisecond on an idle machine.
+constexpr std::int64_t PrefillTokensPerMs = 100;
 
 bool isSuccess(int status)
 {
@@ -39,14 +39,14 @@
 
 } // namespace
 
-void Exchange::attempt()
+void Exchange::startAttempt()
 {
     const units::TimePoint now = state_.timers.now();
     query_.targetIn = request_.receivedAt + route_->targetLatency - now;
     query_.expiresIn = std::min(deadline_, request_.receivedAt + route_->maxClientWait) - now;
     isPlacing_ = true;
-    placingSince_ = now;
-    placingNumber_
+    placementStartedAt_ = now;
+    placementNumber_
         = state_.placement.place(query_,
                                  [self = shared_from_this()](const routing::PlacementTicket &ticket,
                                                              routing::PlacementChoice choice) {
@@ -58,23 +58,23 @@
 {
     isPlacing_ = false;
     if (finished_) {
-        state_.placement.tell(ticket, routing::PlacementEvent::Withdrawn);
+        state_.placement.report(ticket, routing::PlacementEvent::Withdrawn);
         return;
     }
     if (choice.endpoint == nullptr) {
-        comeBackIn_ = choice.retryDelay;
+        retryDelay_ = choice.retryDelay;
         giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
                            : routing::NextStep::RefuseNotRun,
-               comeBackIn_ ? units::ResultCode::QueueFull : units::ResultCode::NoEndpointAvailable);
+               retryDelay_ ? units::ResultCode::QueueFull : units::ResultCode::NoEndpointAvailable);
         return;
     }
     endpoint_ = std::move(choice.endpoint);
     ticket_ = ticket;
-    const units::Duration placing = state_.timers.now() - placingSince_;
-    state_.log.metrics.observe("monsoongrade_gateway_placing_seconds", "", placing);
+    const units::Duration placementTime = state_.timers.now() - placementStartedAt_;
+    state_.log.metrics.observe("monsoongrade_gateway_placing_seconds", "", placementTime);
     tokensToRead_ = choice.tokensToRead;
     if (state_.log.mayWrite("request-placed"))
-        logPlaced(placing);
+        logPlaced(placementTime);
     query_.tried.push_back(endpoint_->registration.id);
     endpoint_->health.onSent(state_.timers.now());
     use_ = ResponseUse::None;
@@ -91,7 +91,7 @@
         [self, endpoint = endpoint_](ConnectOutcome outcome,
                                      std::shared_ptr<httpio::Channel> channel) {
             if (self->finished_ && channel != nullptr)
-                self->state_.connections.giveBack(*endpoint, channel, std::nullopt);
+                self->state_.connections.release(*endpoint, channel, std::nullopt);
             else if (!self->finished_)
                 self->onConnection(outcome, std::move(channel));
         });
@@ -105,19 +105,19 @@
         return;
     }
     if (outcome == ConnectOutcome::Failed)
-        endpointFailed();
-    attemptFailed(units::ResultCode::EndpointUnreachable, false);
+        onEndpointFailure();
+    onAttemptFailed(units::ResultCode::EndpointUnreachable, false);
 }
 
 void Exchange::send()
 {
     const units::TimePoint now = state_.timers.now();
     if (endpoint_->leaving) {
-        // It began to leave while the connection was made.
-        attemptFailed(units::ResultCode::EndpointRefused, false);
+        // The endpoint began to leave during connection setup.
+        onAttemptFailed(units::ResultCode::EndpointRefused, false);
         return;
     }
-    // Other hosts may have reported crashes while the request waited for its endpoint.
+    // Other hosts may have reported crashes while the request waited for an endpoint.
     if (quarantineRemaining()) {
         giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
                            : routing::NextStep::RefuseNotRun,
@@ -125,7 +125,7 @@
         return;
     }
     routing::RetryAllowance &allowance = retryAllowance();
-    if (arrivals_ == 0) {
+    if (totalSends_ == 0) {
         allowance.onRequest(now);
     } else if (!allowance.trySpend(state_.retryLimit, state_.liveHosts, now)) {
         giveUp(mayHaveRun_ ? routing::NextStep::RespondOutcomeUnknown
@@ -133,20 +133,20 @@
                units::ResultCode::RetryBudgetSpent);
         return;
     }
-    ++arrivals_;
+    ++totalSends_;
     ++sends_;
     sentAt_ = now;
     channel_->send(httpio::encodeRequestHead(request_.head.method, request_.head.target,
                                              endpointHeaders(), request_.body->size()),
                    request_.body, *this);
-    const auto readTime = std::chrono::milliseconds(2 * tokensToRead_ / TokensReadPerMs);
-    suspicionTimer_ = state_.timers.after(SilenceToSuspect + readTime,
-                                          [self = shared_from_this()] { self->suspectIfSilent(); });
+    const auto readTime = std::chrono::milliseconds(2 * tokensToRead_ / PrefillTokensPerMs);
+    suspicionTimer_ = state_.timers.after(SilenceTimeout + readTime,
+                                          [self = shared_from_this()] { self->reportIfSilent(); });
     if (route_->kind == routing::RouteKind::Idempotent)
-        watchSilence(
+        startSilenceTimer(
             std::max<units::Duration>(std::chrono::milliseconds(300), 2 * route_->targetLatency));
     else if (route_->mayRunTwice())
-        watchSilence(
+        startSilenceTimer(
             std::max<units::Duration>(std::chrono::seconds(1), route_->targetLatency * 5 / 2));
 }
 
@@ -157,40 +157,41 @@
     request.workspace = admission_.workspace;
     request.timeLeft = timeLeft();
     request.tier = admission_.tier;
-    request.resumeAfter = events_.lastId().empty() ? facts_.lastEventId : events_.lastId();
-    return state_.dialect.endpointHeaders(httpio::endToEndHeaders(request_.head.headers), request);
+    request.resumeAfter = events_.lastId().empty() ? metadata_.lastEventId : events_.lastId();
+    return state_.headerCodec.endpointHeaders(httpio::endToEndHeaders(request_.head.headers),
+                                              request);
 }
 
 void Exchange::onResponseHead(const httpio::MessageHead &head)
 {
     endpoint_->lastReceivedAt = state_.timers.now();
-    const EndpointResponseInfo answer = state_.dialect.decodeResponse(head);
+    const EndpointResponseInfo answer = state_.headerCodec.decodeResponse(head);
     const bool belongsHere
-        = answer.request == facts_.id || (answer.request.isEmpty() && !isSuccess(head.status));
+        = answer.request == metadata_.id || (answer.request.isEmpty() && !isSuccess(head.status));
     if (!belongsHere) {
         use_ = ResponseUse::OfOtherRequest;
         return;
     }
     responseHead_ = head;
     answer_ = answer;
-    noteLimit();
+    updateLimit();
     if (state_.crashes.size() > 0 && !answer_.wrongEndpoint)
         state_.crashes.onAnswered(routing::instanceOf(endpoint_->registration), sentAt_);
     const bool isEventStream
         = route_->kind == routing::RouteKind::Stream && isSuccess(head.status) && answer.isSigned;
     use_ = isEventStream ? ResponseUse::Relayed : ResponseUse::Collected;
     if (use_ == ResponseUse::Collected)
-        noteFirstByte();
+        onFirstByte();
 }
 
-// A rejection without a limit says nothing: it may come from a part of the endpoint that knows
-// none.
-void Exchange::noteLimit()
+// A rejection without a limit is ignored: the part of the endpoint that sent it may not know the
+// limit.
+void Exchange::updateLimit()
 {
     if (answer_.isLimitUnreadable)
         state_.log.write(
             observability::LogLevel::Warning, "endpoint-limit-unreadable",
-            {{"endpoint", endpoint_->registration.id.value()}, {"request", facts_.id.value()}});
+            {{"endpoint", endpoint_->registration.id.value()}, {"request", metadata_.id.value()}});
     if (answer_.provenNotRun && !answer_.requestLimit)
         return;
     state_.limits.update(routing::instanceOf(endpoint_->registration), answer_.requestLimit,
@@ -199,7 +200,7 @@
         return;
     state_.log.write(observability::LogLevel::Info, "endpoint-limit-changed",
                      {{"endpoint", endpoint_->registration.id.value()},
-                      {"request", facts_.id.value()},
+                      {"request", metadata_.id.value()},
                       {"requests-per-second", answer_.requestLimit.value_or(-1)}});
 }
 
@@ -218,19 +219,20 @@
         return;
     if (!responseBegun_) {
         responseBegun_ = true;
-        reply_->begin(responseHead_.status, state_.dialect.clientHeaders(responseHead_.headers));
+        reply_->begin(responseHead_.status,
+                      state_.headerCodec.clientHeaders(responseHead_.headers));
     }
     reply_->write(collected_);
     collected_.clear();
-    slowDownIfUnsent();
+    throttleIfBacklogged();
 }
 
 void Exchange::relay(std::string_view bytes)
 {
-    const std::string whole = events_.take(bytes, state_.timers.now());
+    const std::string whole = events_.feed(bytes, state_.timers.now());
     if (whole.empty())
         return;
-    noteFirstByte();
+    onFirstByte();
     if (events_.hasGap()) {
         const auto self = shared_from_this();
         dropChannel();
@@ -239,18 +241,18 @@
     }
     if (!responseBegun_) {
         responseBegun_ = true;
-        reply_->begin(responseHead_.status, state_.dialect.clientHeaders(responseHead_.headers));
+        reply_->begin(responseHead_.status,
+                      state_.headerCodec.clientHeaders(responseHead_.headers));
     }
     reply_->write(whole);
     if (route_->mayRunTwice())
-        watchSilence(
+        startSilenceTimer(
             std::max<units::Duration>(std::chrono::milliseconds(700), route_->maxEventGap * 5 / 2));
-    slowDownIfUnsent();
+    throttleIfBacklogged();
 }
 
-// A client that reads slowly slows down its own endpoint's stream, and its bytes do not pile up
-// here.
-void Exchange::slowDownIfUnsent()
+// Limits the memory used for a slow client by applying backpressure to its endpoint's stream.
+void Exchange::throttleIfBacklogged()
 {
     if (reply_->unsentBytes() > MaxUnsentBytes) {
         channel_->pauseReading();
@@ -261,101 +263,102 @@
     }
 }
 
-// Usage counts a request once, however many endpoints began to run it.
-void Exchange::noteBegan()
+// Counts a request once, even if several endpoints began to run it.
+void Exchange::countUsage()
 {
-    if (hasBegun_ || answer_.provenNotRun || state_.usage == nullptr)
+    if (isUsageCounted_ || answer_.provenNotRun || state_.usage == nullptr)
         return;
-    hasBegun_ = true;
-    state_.usage->onBegan(admission_.workspace);
+    isUsageCounted_ = true;
+    state_.usage->onRequestStarted(admission_.workspace);
 }
 
-void Exchange::noteFirstByte()
+void Exchange::onFirstByte()
 {
     if (firstByteSeen_)
         return;
     firstByteSeen_ = true;
-    noteBegan();
+    countUsage();
     const units::TimePoint now = state_.timers.now();
     const double took = std::chrono::duration<double, std::milli>(now - sentAt_).count();
-    // Engines read about 150 tokens a millisecond and need 30 to 40 ms beside; plain endpoints
-    // usually answer within a quarter of their target.
+    // Engines prefill about 150 tokens per millisecond and need another 30 to 40 ms; plain
+    // endpoints usually respond within a quarter of their target latency.
     state_.log.metrics.observe("monsoongrade_gateway_first_byte_seconds",
                                observability::label("pool", pool_.value()),
                                now - request_.receivedAt);
     const double expected = query_.runsModel
-        ? 50 + double(tokensToRead_) / double(TokensReadPerMs)
+        ? 50 + double(tokensToRead_) / double(PrefillTokensPerMs)
         : std::chrono::duration<double, std::milli>(route_->targetLatency).count() / 4;
     endpoint_->health.onLatency(std::max(1.0, took / std::max(expected, 1.0)), now);
-    state_.placement.tell(ticket_, routing::PlacementEvent::FirstEvent);
+    state_.placement.report(ticket_, routing::PlacementEvent::FirstEvent);
 }
 
 void Exchange::onResponseEnd()
 {
     const auto self = shared_from_this();
     if (use_ == ResponseUse::OfOtherRequest) {
-        // The response to this request is still to come on the same connection.
+        // The response to this request follows on the same connection.
         use_ = ResponseUse::None;
         return;
     }
     if (use_ == ResponseUse::Relayed)
-        endRelay();
+        finishRelay();
     else
-        judgeCollected();
+        onCollectedEnd();
 }
 
-void Exchange::endRelay()
+void Exchange::finishRelay()
 {
     if (responseHead_.endsAtClose && events_.hasPartialEvent()) {
-        // Without a length, an orderly close within an event is a broken stream.
+        // For a response without a length, a close in the middle of an event means truncation.
         onChannelFailure(httpio::ChannelFailure::BrokenInResponse);
         return;
     }
     if (!responseBegun_) {
         responseBegun_ = true;
-        reply_->begin(responseHead_.status, state_.dialect.clientHeaders(responseHead_.headers));
+        reply_->begin(responseHead_.status,
+                      state_.headerCodec.clientHeaders(responseHead_.headers));
     }
     reply_->write(events_.takePartialEvent());
     reply_->end();
     endpoint_->health.onSuccess(state_.timers.now());
-    noteCompleted();
-    state_.connections.giveBack(*endpoint_, channel_, answer_.idleTimeout);
+    recordCompletion();
+    state_.connections.release(*endpoint_, channel_, answer_.idleTimeout);
     channel_.reset();
     releaseEndpoint(routing::PlacementEvent::Completed);
     finish("completed", responseHead_.status, units::ResultCode::Ok);
 }
 
-// The whole response is here, and unless it was very long the client has none of it.
-void Exchange::judgeCollected()
+// The response is complete, and unless it was very long nothing has been sent to the client.
+void Exchange::onCollectedEnd()
 {
     const units::TimePoint now = state_.timers.now();
     const int status = responseHead_.status;
-    state_.connections.giveBack(*endpoint_, channel_, answer_.idleTimeout);
+    state_.connections.release(*endpoint_, channel_, answer_.idleTimeout);
     channel_.reset();
     if (answer_.provenNotRun || answer_.wrongEndpoint) {
         endpoint_->health.onErrorResponse(now);
         if (answer_.wrongEndpoint) {
-            // The address belongs to another endpoint now; the one meant is gone.
+            // The address belongs to another endpoint now; the intended one is gone.
             endpoint_->leaving = true;
             --sends_;
         }
-        attemptFailed(units::ResultCode::EndpointRefused, false);
+        onAttemptFailed(units::ResultCode::EndpointRefused, false);
         return;
     }
     if (isSuccess(status) && !answer_.isSigned) {
-        endpointFailed();
-        attemptFailed(units::ResultCode::EndpointBrokeInAnswer, true);
+        onEndpointFailure();
+        onAttemptFailed(units::ResultCode::EndpointBrokeInAnswer, true);
         return;
     }
     if (responseBegun_ && route_->kind == routing::RouteKind::Stream) {
-        // The endpoint that was to continue the stream answered something else.
+        // The endpoint that should continue the stream did not send a stream.
         endpoint_->health.onErrorResponse(now);
-        attemptFailed(units::ResultCode::EndpointBrokeInAnswer, true);
+        onAttemptFailed(units::ResultCode::EndpointBrokeInAnswer, true);
         return;
     }
     if (!isServerError(status)) {
         endpoint_->health.onSuccess(now);
-        noteCompleted();
+        recordCompletion();
         releaseEndpoint(routing::PlacementEvent::Completed);
         deliverCollected();
         return;
@@ -363,7 +366,7 @@
     endpoint_->health.onErrorResponse(now);
     fallbackHead_ = responseHead_;
     fallbackBody_ = std::move(collected_);
-    attemptFailed(units::ResultCode::EndpointRefused, true);
+    onAttemptFailed(units::ResultCode::EndpointRefused, true);
 }
 
 void Exchange::deliverCollected()
@@ -372,8 +375,8 @@
         reply_->write(collected_);
         reply_->end();
     } else {
-        reply_->respond(responseHead_.status, state_.dialect.clientHeaders(responseHead_.headers),
-                        collected_);
+        reply_->respond(responseHead_.status,
+                        state_.headerCodec.clientHeaders(responseHead_.headers), collected_);
     }
     finish("completed", responseHead_.status, units::ResultCode::Ok);
 }
--- a/src/gateway/exchangeadmission.cpp
+++ b/src/gateway/exchangeadmission.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// For a client that does not say how long it waits; the route's timeout is usually shorter.
+// For requests without a deadline; the route's timeout is usually shorter.
 constexpr auto DefaultTimeLeft = std::chrono::seconds(60);
 
 constexpr int StatusUnauthorized = 401;
@@ -49,8 +49,8 @@
 {
     state_.log.metrics.add("monsoongrade_gateway_requests_accepted_total");
     ++state_.openRequests;
-    facts_ = state_.dialect.decodeRequest(request_.head.headers);
-    deadline_ = request_.receivedAt + facts_.timeLeft.value_or(DefaultTimeLeft);
+    metadata_ = state_.headerCodec.decodeRequest(request_.head.headers);
+    deadline_ = request_.receivedAt + metadata_.timeLeft.value_or(DefaultTimeLeft);
     reply_->onClientDisconnected([self = shared_from_this()] { self->onClientDisconnected(); });
     admit();
 }
@@ -59,12 +59,12 @@
 {
     if (finished_)
         return;
-    if (state_.startupGate.isAwaited()) {
-        state_.startupGate.await([self = shared_from_this()] { self->admit(); });
+    if (state_.startupGate.isClosed()) {
+        state_.startupGate.callWhenOpen([self = shared_from_this()] { self->admit(); });
         return;
     }
     table_ = state_.table;
-    admission_ = routing::admit(table_.get(), state_.lease.isFresh(state_.timers.now()), facts_,
+    admission_ = routing::admit(table_.get(), state_.lease.isFresh(state_.timers.now()), metadata_,
                                 request_.head.target);
     if (admission_.code != units::ResultCode::Ok) {
         const int status = statusFor(admission_.code);
@@ -76,19 +76,19 @@
         refuse(StatusUnavailable, units::ResultCode::RequestQuarantined, true);
         return;
     }
-    pool_ = routing::choosePool(*route_, units::jitterOf(facts_.id));
+    pool_ = routing::choosePool(*route_, units::jitterOf(metadata_.id));
     poolSettings_ = table_->pool(pool_);
-    query_ = routing::placementQuery(facts_, *route_, pool_, poolSettings_, admission_.tier,
+    query_ = routing::placementQuery(metadata_, *route_, pool_, poolSettings_, admission_.tier,
                                      state_.ownDomain);
     query_.mayWait = true;
     deadline_ = std::min(deadline_, request_.receivedAt + route_->timeout);
-    if (state_.plannedStop && state_.plannedStop->mayCut(deadline_, state_.timers.now())) {
+    if (state_.plannedStop && state_.plannedStop->shouldRefuse(deadline_, state_.timers.now())) {
         refuse(StatusUnavailable, units::ResultCode::RouterStopping, true);
         return;
     }
     const auto self = shared_from_this();
     deadlineTimer_ = state_.timers.at(deadline_, [self] { self->onDeadline(); });
-    attempt();
+    startAttempt();
 }
 
 } // namespace monsoongrade::gateway
--- a/src/gateway/exchangefailures.cpp
+++ b/src/gateway/exchangefailures.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-// An endpoint ends a request itself at the time it was told. Its own response arrives a few
-// milliseconds after the deadline and says more than one made here.
+// Endpoints enforce the deadline that they are given. Their response arrives a few milliseconds
+// after it and is more informative than one made by the gateway.
 constexpr auto WaitForEndpointTimeout = std::chrono::milliseconds(100);
-// How long a request that must not be cut at the endpoint may go on after its client has left.
-constexpr auto UnattendedTime = std::chrono::seconds(5);
+// How long a request that must not be aborted may continue after its client has disconnected.
+constexpr auto MaxTimeAfterDisconnect = std::chrono::seconds(5);
 
 constexpr int StatusBadGateway = 502;
 constexpr int StatusUnavailable = 503;
@@ -33,46 +33,46 @@
         || failure == httpio::ChannelFailure::NotConnected;
     dropChannel();
     if (!isUnsent)
-        noteCrash();
-    endpointFailed();
+        recordCrash();
+    onEndpointFailure();
     if (isUnsent) {
         --sends_;
-        attemptFailed(units::ResultCode::EndpointUnreachable, false);
+        onAttemptFailed(units::ResultCode::EndpointUnreachable, false);
         return;
     }
     const bool inResponse = failure == httpio::ChannelFailure::BrokenInResponse;
-    attemptFailed(inResponse ? units::ResultCode::EndpointBrokeInAnswer
-                             : units::ResultCode::EndpointBrokeBeforeAnswer,
-                  true);
+    onAttemptFailed(inResponse ? units::ResultCode::EndpointBrokeInAnswer
+                               : units::ResultCode::EndpointBrokeBeforeAnswer,
+                    true);
 }
 
-void Exchange::attemptFailed(units::ResultCode reason, bool mayHaveRun)
+void Exchange::onAttemptFailed(units::ResultCode reason, bool mayHaveRun)
 {
     mayHaveRun_ = mayHaveRun_ || mayHaveRun;
     if (channel_ != nullptr) {
-        // Nothing was sent on it.
-        state_.connections.giveBack(*endpoint_, channel_, std::nullopt);
+        // Nothing was sent on the connection, so it can be reused.
+        state_.connections.release(*endpoint_, channel_, std::nullopt);
         channel_.reset();
     }
     state_.log.metrics.add(
         "monsoongrade_gateway_attempts_failed_total",
         observability::label("reason", std::string(units::resultCodeName(reason))));
     state_.log.write(observability::LogLevel::Info, "attempt-failed",
-                     {{"request", facts_.id.value()},
+                     {{"request", metadata_.id.value()},
                       {"endpoint", query_.tried.back().value()},
                       {"reason", units::resultCodeName(reason)},
                       {"may-have-run", mayHaveRun_ ? "yes" : "no"},
                       {"sends", sends_},
                       {"left-ms", milliseconds(timeLeft())}});
     releaseEndpoint();
-    if (clientGone_) {
+    if (clientDisconnected_) {
         finish("client-left", 0, units::ResultCode::CallerLeft);
         return;
     }
     const routing::NextStep step = routing::decideAfterFailure(describeFailure(false));
     if (step == routing::NextStep::SendAgain) {
         events_.resume();
-        attempt();
+        startAttempt();
         return;
     }
     giveUp(step, reason);
@@ -83,7 +83,7 @@
     const units::TimePoint now = state_.timers.now();
     routing::AttemptFailure failure;
     failure.mayHaveRun = mayHaveRun_;
-    // A response that began and is no stream can't be continued by another run.
+    // Another run can continue a response that has begun only if it is a stream.
     failure.mayRunTwice
         = route_->mayRunTwice() && (!responseBegun_ || route_->kind == routing::RouteKind::Stream);
     failure.responseBegun = responseBegun_;
@@ -93,11 +93,11 @@
     failure.isQuarantined = quarantineRemaining().has_value();
     failure.hasAlternativeEndpoint = state_.placement.hasEndpoint(query_);
     failure.hasRetryBudget
-        = arrivals_ == 0 || retryAllowance().hasLeft(state_.retryLimit, state_.liveHosts, now);
+        = totalSends_ == 0 || retryAllowance().hasLeft(state_.retryLimit, state_.liveHosts, now);
     return failure;
 }
 
-bool Exchange::canSendAgain()
+bool Exchange::canRetry()
 {
     routing::AttemptFailure failure = describeFailure(false);
     failure.mayHaveRun = true;
@@ -123,49 +123,50 @@
     }
 }
 
-void Exchange::refuse(int status, units::ResultCode reason, bool mayComeBack)
+void Exchange::refuse(int status, units::ResultCode reason, bool mayRetry)
 {
-    std::optional<units::Duration> comeBack;
+    std::optional<units::Duration> delay;
     if (reason == units::ResultCode::RequestQuarantined)
-        comeBack = quarantineRemaining();
-    else if (mayComeBack)
-        comeBack = comeBackIn_ ? routing::retryAfter(*comeBackIn_, facts_.id, timeLeft())
-                               : routing::retryAfter(reason, facts_.id, timeLeft());
+        delay = quarantineRemaining();
+    else if (mayRetry)
+        delay = retryDelay_ ? routing::retryAfter(*retryDelay_, metadata_.id, timeLeft())
+                            : routing::retryAfter(reason, metadata_.id, timeLeft());
     const std::string body
         = std::to_string(int(reason)) + " " + std::string(units::resultCodeName(reason)) + "\n";
-    reply_->respond(status, state_.dialect.gatewayHeaders(facts_.id, comeBack), body);
-    finish(mayComeBack ? "refused" : "failed", status, reason);
+    reply_->respond(status, state_.headerCodec.gatewayHeaders(metadata_.id, delay), body);
+    finish(mayRetry ? "refused" : "failed", status, reason);
 }
 
-void Exchange::watchSilence(units::Duration limit)
+void Exchange::startSilenceTimer(units::Duration limit)
 {
     state_.timers.cancel(silenceTimer_);
-    silenceTimer_ = state_.timers.after(limit, [self = shared_from_this()] { self->onSilence(); });
+    silenceTimer_
+        = state_.timers.after(limit, [self = shared_from_this()] { self->onSilenceTimeout(); });
 }
 
-void Exchange::onSilence()
+void Exchange::onSilenceTimeout()
 {
-    // Without another endpoint to go to, a late response is better than none.
-    if (finished_ || channel_ == nullptr || !canSendAgain())
+    // If no retry is possible, a late response is better than none.
+    if (finished_ || channel_ == nullptr || !canRetry())
         return;
     dropChannel();
-    // An endpoint that crashed with its host closes no connection.
+    // An endpoint that crashed together with its machine does not close its connections.
     if (endpoint_->lastReceivedAt < sentAt_)
-        noteCrash();
-    endpointFailed();
-    attemptFailed(units::ResultCode::EndpointSilent, true);
+        recordCrash();
+    onEndpointFailure();
+    onAttemptFailed(units::ResultCode::EndpointSilent, true);
 }
 
-// An endpoint without power or path takes requests into the void until the system gives its
-// connections up, after 3 s. Silence towards all requests of this host shows it earlier.
-void Exchange::suspectIfSilent()
+// The operating system closes the connections to an endpoint that lost power or network only after
+// 3 s. Silence on all requests of this host reveals the failure earlier.
+void Exchange::reportIfSilent()
 {
     if (finished_ || channel_ == nullptr || endpoint_->lastReceivedAt >= sentAt_)
         return;
     const units::TimePoint now = state_.timers.now();
-    state_.placement.tell(ticket_, routing::PlacementEvent::EndpointSilent);
+    state_.placement.report(ticket_, routing::PlacementEvent::EndpointSilent);
     state_.log.write(observability::LogLevel::Warning, "endpoint-suspected",
-                     {{"request", facts_.id.value()},
+                     {{"request", metadata_.id.value()},
                       {"endpoint", endpoint_->registration.id.value()},
                       {"silent-ms", milliseconds(now - sentAt_)}});
 }
@@ -174,7 +175,7 @@
 {
     if (finished_)
         return;
-    if (clientGone_) {
+    if (clientDisconnected_) {
         if (channel_ != nullptr)
             dropChannel();
         finish("client-left", 0, units::ResultCode::CallerLeft);
@@ -201,12 +202,12 @@
 {
     if (finished_)
         return;
-    clientGone_ = true;
+    clientDisconnected_ = true;
     const bool leaveRunning = channel_ != nullptr && route_->kind == routing::RouteKind::AtMostOnce;
     if (leaveRunning) {
-        // Cutting it would leave the work half done where it can't be done again.
+        // Aborting would leave work half done that must not be repeated.
         state_.timers.cancel(deadlineTimer_);
-        deadlineTimer_ = state_.timers.after(UnattendedTime,
+        deadlineTimer_ = state_.timers.after(MaxTimeAfterDisconnect,
                                              [self = shared_from_this()] { self->onDeadline(); });
         return;
     }
@@ -215,19 +216,20 @@
     finish("client-left", 0, units::ResultCode::CallerLeft);
 }
 
-void Exchange::releaseEndpoint(routing::PlacementEvent news)
+void Exchange::releaseEndpoint(routing::PlacementEvent event)
 {
     state_.timers.cancel(silenceTimer_);
     state_.timers.cancel(suspicionTimer_);
     if (endpoint_ == nullptr)
         return;
-    state_.placement.tell(ticket_, news);
+    state_.placement.report(ticket_, event);
     endpoint_.reset();
 }
 
-void Exchange::endpointFailed()
+void Exchange::onEndpointFailure()
 {
-    // The host that placed the request counts the failure as well, if it is another one.
+    // The host that placed the request counts the reported failure. If that is another host, this
+    // one counts it too.
     const units::TimePoint now = state_.timers.now();
     const bool wasAccepting = endpoint_->health.accepts(now);
     const routing::EndpointRegistry::Status endpoint = endpoint_;
@@ -238,32 +240,32 @@
         state_.log.write(observability::LogLevel::Warning, "endpoint-suspended",
                          {{"endpoint", endpoint->registration.id.value()},
                           {"pool", pool_.value()},
-                          {"request", facts_.id.value()},
+                          {"request", metadata_.id.value()},
                           {"failure-share", endpoint->health.failureRate(now)}});
 }
 
-// A connection also breaks when only the network fails, or when an endpoint has too many. That
-// counts until the endpoint answers again.
-void Exchange::noteCrash()
+// A connection also breaks if only the network fails or if the endpoint has too many connections.
+// Such a break counts as a crash until the endpoint responds again.
+void Exchange::recordCrash()
 {
     const units::TimePoint now = state_.timers.now();
     const bool wasQuarantined = quarantineRemaining().has_value();
     state_.crashes.onCrash(identity(), routing::instanceOf(endpoint_->registration), now);
     const auto left = quarantineRemaining();
     state_.log.write(observability::LogLevel::Warning, "endpoint-broke-under-request",
-                     {{"request", facts_.id.value()},
+                     {{"request", metadata_.id.value()},
                       {"digest", routing::digestText(identity().digest)},
                       {"workspace", admission_.workspace.value()},
                       {"endpoint", endpoint_->registration.id.value()}});
     if (left && !wasQuarantined)
         observability::log(observability::LogLevel::Warning, "request-quarantined",
-                           {{"request", facts_.id.value()},
+                           {{"request", metadata_.id.value()},
                             {"digest", routing::digestText(identity().digest)},
                             {"workspace", admission_.workspace.value()},
                             {"for-ms", milliseconds(*left)}});
 }
 
-void Exchange::noteCompleted()
+void Exchange::recordCompletion()
 {
     state_.crashes.onCompleted(identity(), state_.timers.now());
 }
@@ -288,7 +290,7 @@
     finished_ = true;
     --state_.openRequests;
     if (isPlacing_)
-        state_.placement.withdraw(placingNumber_);
+        state_.placement.withdraw(placementNumber_);
     releaseEndpoint();
     state_.timers.cancel(deadlineTimer_);
     const std::string outcomeLabel = observability::label("outcome", std::string(outcome));
@@ -300,22 +302,22 @@
                                state_.timers.now() - request_.receivedAt);
     const bool isFailure
         = reason != units::ResultCode::Ok && reason != units::ResultCode::CallerLeft;
-    // Failures have a budget of their own, so that successes cannot use it up.
+    // Failures have a separate budget, so that successes cannot suppress their log lines.
     if (state_.log.mayWrite(isFailure ? "request-failed" : "request-done"))
         logEnd(outcome, status, reason);
 }
 
-void Exchange::logPlaced(units::Duration placing) const
+void Exchange::logPlaced(units::Duration placementTime) const
 {
     observability::log(observability::LogLevel::Info, "request-placed",
-                       {{"request", facts_.id.value()},
+                       {{"request", metadata_.id.value()},
                         {"route", route_->name.value()},
                         {"pool", pool_.value()},
                         {"endpoint", endpoint_->registration.id.value()},
                         {"placed-by", state_.placement.placedBy(ticket_)},
                         {"tokens-to-read", tokensToRead_},
                         {"tier", std::int64_t(admission_.tier.value())},
-                        {"placing-ms", milliseconds(placing)}});
+                        {"placing-ms", milliseconds(placementTime)}});
 }
 
 void Exchange::logEnd(std::string_view outcome, int status, units::ResultCode reason) const
@@ -324,7 +326,7 @@
     const bool isLeaseProven = state_.lease.age(now) != units::Duration::max();
     observability::log(
         observability::LogLevel::Info, "request-ended",
-        {{"request", facts_.id.value()},
+        {{"request", metadata_.id.value()},
          {"outcome", outcome},
          {"status", status},
          {"code", int(reason)},
@@ -339,7 +341,7 @@
                                  : std::int64_t(-1)},
          {"longest-pause-ms", milliseconds(events_.longestPause())},
          {"left-ms", milliseconds(timeLeft())},
-         {"queue-drains-ms", comeBackIn_ ? milliseconds(*comeBackIn_) : std::int64_t(-1)},
+         {"queue-drains-ms", retryDelay_ ? milliseconds(*retryDelay_) : std::int64_t(-1)},
          {"configuration", table_ == nullptr ? std::int64_t(0) : table_->configuration().version},
          {"configuration-age-ms", isLeaseProven ? milliseconds(state_.lease.age(now)) : -1},
          {"live-hosts", state_.liveHosts}});
@@ -359,7 +361,7 @@
 {
     if (!identity_)
         identity_ = {admission_.workspace,
-                     routing::digestOf(request_.head.method, facts_.host, request_.head.target,
+                     routing::digestOf(request_.head.method, metadata_.host, request_.head.target,
                                        *request_.body)};
     return *identity_;
 }
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -13,23 +13,23 @@
 
 namespace {
 
-// Part of the revocation bound that is not used: the proof of freshness can be 1 s older than it
-// looks, because a watch may stay silent that long while the store drops its history, and a
-// request takes a moment from its check to the endpoint.
+// Subtracted from the revocation bound. The configuration can be 1 s less current than recorded,
+// because a watch may stay silent that long while the store drops its history, and a request needs
+// some time from its check to the endpoint.
 constexpr auto LeaseMargin = std::chrono::milliseconds(1300);
-// Clients keep an address for up to three times the directory's time of 1 s, and one that is
-// asking just now a little longer. Until then a leaving host accepts and serves.
+// Clients use an address for up to three times the directory's interval of 1 s, and slightly longer
+// if they are just refreshing it. A leaving host accepts requests for this time.
 constexpr auto AcceptWhileLeaving = std::chrono::milliseconds(3800);
-// Part of that time in which all requests are taken, also those that may outlast the host: 2.8 of
-// 3.8 s. The others then still find this host's answer that sends them elsewhere.
-constexpr int TakesAllQuarters = 3;
-// Left of the time to stop when open requests are cut, so that the process ends by itself.
+// Quarters of that time in which all requests are accepted, including those that may outlast the
+// host: 2.8 of 3.8 s. In the rest of it, such requests are refused and go to other hosts.
+constexpr int AcceptAllQuarters = 3;
+// Time left when open requests are aborted, so that the process exits before it is killed.
 constexpr auto StopReserve = std::chrono::milliseconds(250);
-constexpr auto OpenRequestsCheck = std::chrono::milliseconds(25);
-// Bodies may take this share of the host's memory; with the base of some 20 MB and the sockets'
-// own buffers that stays far below the limit.
-constexpr std::int64_t BodyShareOfMemory = 4;
-// Each client needs one descriptor and each of its requests about one more.
+constexpr auto OpenRequestsCheckInterval = std::chrono::milliseconds(25);
+// Request bodies may use one part in this many of the host's memory. With some 20 MB of base usage
+// and the socket buffers, that stays far below the limit.
+constexpr std::int64_t BodyMemoryDivisor = 4;
+// Each client connection needs one descriptor, and each of its requests about one more.
 constexpr std::int64_t DescriptorsPerClient = 3;
 
 asio::ip::tcp::endpoint addressOf(const std::string &text, const char *what)
@@ -63,19 +63,20 @@
 } // namespace
 
 Gateway::Gateway(asio::io_context &io, httpio::Timers &timers, const GatewaySettings &settings,
-                 const HeaderCodec &dialect, PageHandlers pages)
+                 const HeaderCodec &headerCodec, PageHandlers pages)
     : io_(io)
     , timers_(timers)
     , settings_(settings)
     , pages_(std::move(pages))
-    , state_(io, timers, dialect, routing::FreshnessLease(settings.revocationBound, LeaseMargin),
+    , state_(io, timers, headerCodec,
+             routing::FreshnessLease(settings.revocationBound, LeaseMargin),
              {settings.ip, settings.placementPort})
     , gossip_(io, timers, gossipSettings(settings), state_.crashes, state_.limits)
 {
     state_.ownDomain = settings.failureDomain;
     state_.retryLimit = settings.retryLimit;
     state_.callerLimits.maxBufferedBytes
-        = std::size_t(settings.memoryMegabytes / BodyShareOfMemory) * 1024 * 1024;
+        = std::size_t(settings.memoryMegabytes / BodyMemoryDivisor) * 1024 * 1024;
     state_.callerLimits.maxConnections
         = std::size_t(settings.maxDescriptors / DescriptorsPerClient);
     if (settings.reportsUsage()) {
@@ -97,7 +98,7 @@
         [this](httpio::ServerRequest request, std::shared_ptr<httpio::ResponseWriter> reply) {
             Exchange::start(state_, std::move(request), std::move(reply));
         });
-    const auto page = [this](const Page &serve) {
+    const auto page = [this](const PageHandler &serve) {
         return [this, serve](const httpio::ServerRequest &request,
                              const std::shared_ptr<httpio::ResponseWriter> &reply) {
             serve(*this, request, *reply);
@@ -120,7 +121,7 @@
             });
     }
     gossip_.onRound([this] { onGossipRound(); });
-    gossip_.onLimit([this](const routing::RateLimitUpdate &news) { onRateLimitUpdate(news); });
+    gossip_.onLimit([this](const routing::RateLimitUpdate &update) { onRateLimitUpdate(update); });
     gossip_.start();
     state_.placement.start();
     if (state_.usage != nullptr)
@@ -144,9 +145,9 @@
                         {"workspaces", std::uint64_t(applied.workspaces.size())}});
 }
 
-void Gateway::markConfigurationCurrent(units::TimePoint at)
+void Gateway::markConfigurationCurrent(units::TimePoint asOf)
 {
-    state_.lease.renew(at);
+    state_.lease.renew(asOf);
     if (state_.table != nullptr && state_.lease.isFresh(timers_.now()))
         state_.startupGate.onConfiguration();
 }
@@ -155,7 +156,7 @@
                                units::TimePoint keepMissingUntil)
 {
     state_.registry.replaceAll(endpoints, timers_.now(), keepMissingUntil);
-    divideByOwnList();
+    computeDivision();
     state_.startupGate.onEndpoints();
     observability::log(observability::LogLevel::Info, "endpoints-listed",
                        {{"listed", std::uint64_t(endpoints.size())},
@@ -165,7 +166,7 @@
 void Gateway::updateEndpoint(const routing::DiscoveredEndpoint &endpoint)
 {
     state_.registry.update(endpoint);
-    divideByOwnList();
+    computeDivision();
     if (endpoint.draining)
         state_.log.write(observability::LogLevel::Info, "endpoint-draining",
                          {{"endpoint", endpoint.id.value()}, {"pool", endpoint.pool.value()}});
@@ -180,7 +181,7 @@
 void Gateway::removeEndpoint(const units::EndpointId &id, units::TimePoint keepMissingUntil)
 {
     state_.registry.remove(id, timers_.now(), keepMissingUntil);
-    divideByOwnList();
+    computeDivision();
     state_.log.write(observability::LogLevel::Info, "endpoint-removed", {{"endpoint", id.value()}});
 }
 
@@ -212,18 +213,18 @@
 
 void Gateway::onGossipRound()
 {
-    noteOwnState();
+    publishOwnState();
     state_.registry.removeExpired(timers_.now());
     const std::vector<routing::PeerUpdate> live = hosts();
     state_.liveHosts = int(live.size());
-    noteHosts(live);
+    logHostChanges(live);
     const auto ownPlace = std::count_if(
         live.begin(), live.end(), [this](const auto &host) { return host.ip < settings_.ip; });
     state_.placement.setLiveHosts(state_.liveHosts, int(ownPlace));
-    setPlacingOrders(live);
+    updateCoordinatorRankings(live);
 }
 
-void Gateway::setPlacingOrders(const std::vector<routing::PeerUpdate> &live)
+void Gateway::updateCoordinatorRankings(const std::vector<routing::PeerUpdate> &live)
 {
     const routing::FleetDivision &division = state_.registry.division();
     std::vector<std::string> ofFleet = routing::rankCoordinators(live, hostsCompared_);
@@ -231,10 +232,10 @@
     std::vector<std::string> ofCell;
     std::copy_if(ofFleet.begin(), ofFleet.end(), std::back_inserter(ofCell),
                  [&](const std::string &ip) { return division.cellOf(ip) == ownCell; });
-    state_.placement.setOrders(std::move(ofFleet), std::move(ofCell));
+    state_.placement.setCoordinatorRankings(std::move(ofFleet), std::move(ofCell));
 }
 
-void Gateway::divide(const routing::FleetDivision &division)
+void Gateway::applyDivision(const routing::FleetDivision &division)
 {
     if (division == state_.registry.division())
         return;
@@ -246,27 +247,27 @@
                         {"divided-pools", std::uint64_t(division.pools().size())}});
 }
 
-void Gateway::setDivision(const std::optional<routing::FleetDivision> &told)
+void Gateway::setDivision(const std::optional<routing::FleetDivision> &received)
 {
-    listsAllEndpoints_ = !told;
-    if (told)
-        divide(*told);
+    listsAllEndpoints_ = !received;
+    if (received)
+        applyDivision(*received);
 }
 
-void Gateway::divideByOwnList()
+void Gateway::computeDivision()
 {
     if (!listsAllEndpoints_)
         return;
-    divide(routing::divideFleet(state_.registry.sizes(), state_.registry.division()));
+    applyDivision(routing::divideFleet(state_.registry.sizes(), state_.registry.division()));
 }
 
-void Gateway::onRateLimitUpdate(const routing::RateLimitUpdate &news)
+void Gateway::onRateLimitUpdate(const routing::RateLimitUpdate &update)
 {
-    if (!state_.limits.update(news.endpoint, news.limit, timers_.now() - news.age))
+    if (!state_.limits.update(update.endpoint, update.limit, timers_.now() - update.age))
         return;
-    const auto endpoint = state_.registry.find(news.endpoint);
+    const auto endpoint = state_.registry.find(update.endpoint);
     if (endpoint != nullptr)
-        state_.placement.setLimit(*endpoint, news.limit);
+        state_.placement.setLimit(*endpoint, update.limit);
 }
 
 std::vector<routing::PeerUpdate> Gateway::hosts() const
@@ -281,8 +282,8 @@
     return seedIpsOf(settings_);
 }
 
-// Logs each change of what this host says of itself, with the news that decided it.
-void Gateway::noteOwnState()
+// Publishes this host's state, and logs each change with the configuration that it depends on.
+void Gateway::publishOwnState()
 {
     const routing::PeerState state = peerState();
     gossip_.setState(state);
@@ -302,7 +303,7 @@
               : std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}});
 }
 
-void Gateway::noteHosts(const std::vector<routing::PeerUpdate> &hosts)
+void Gateway::logHostChanges(const std::vector<routing::PeerUpdate> &hosts)
 {
     std::vector<std::string> now;
     now.reserve(hosts.size());
@@ -336,7 +337,7 @@
     callers_->startDraining();
     const units::Duration accepting
         = std::min<units::Duration>(AcceptWhileLeaving, settings_.stopWithin / 2);
-    state_.plannedStop = PlannedStop{timers_.now() + accepting * TakesAllQuarters / 4, stopBy_};
+    state_.plannedStop = PlannedStop{timers_.now() + accepting * AcceptAllQuarters / 4, stopBy_};
     timers_.after(accepting, [this] {
         callers_->stopAccepting();
         waitForOpenRequests();
@@ -345,16 +346,16 @@
 
 void Gateway::waitForOpenRequests()
 {
-    // Connections whose last response is still being read by the client count as well.
+    // Also waits for connections whose clients are still reading the last response.
     const std::size_t open = callers_->openRequests();
     if (callers_->connections() > 0 && timers_.now() < stopBy_) {
-        timers_.after(OpenRequestsCheck, [this] { waitForOpenRequests(); });
+        timers_.after(OpenRequestsCheckInterval, [this] { waitForOpenRequests(); });
         return;
     }
     observability::log(observability::LogLevel::Info, "gateway-stopped",
                        {{"open-requests", std::uint64_t(open)}});
     if (state_.usage != nullptr)
-        state_.usage->tell();
+        state_.usage->sendCounts();
     stopped_();
 }
 
--- a/src/gateway/gatewaysettings.cpp
+++ b/src/gateway/gatewaysettings.cpp
@@ -56,7 +56,7 @@
     settings.retryLimit.window
         = fromSeconds(reader.number("retry-window-s", 10, 0.1, DayInSeconds));
     settings.dutiesAddress = reader.text("duties-address", "");
-    // Beside the gossip unless told otherwise.
+    // Defaults to the port after the gossip port.
     settings.countsPort = std::uint16_t(
         reader.integer("counts-port", std::int64_t(settings.gossipPort) + 1, 1, MaxPort));
     settings.leaseDuration
--- a/src/gateway/internal/gossipmessages.cpp
+++ b/src/gateway/internal/gossipmessages.cpp
@@ -13,17 +13,17 @@
 
 } // namespace
 
-void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &news)
+void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &update)
 {
-    peer.setIp(news.ip);
-    peer.setFailureDomain(news.failureDomain.value());
-    peer.setState(static_cast<schema::GossipPeer::State>(news.state));
-    peer.setAgeMs(std::uint32_t(inMilliseconds(news.age)));
-    peer.setUptimeMs(inMilliseconds(news.uptime));
-    peer.setStoreForMs(inMilliseconds(news.storeReachableFor));
-    peer.setMillicores(std::uint32_t(news.millicores));
-    peer.setStoreRefused(news.isStoreRefused);
-    peer.setDutyToken(news.dutyToken);
+    peer.setIp(update.ip);
+    peer.setFailureDomain(update.failureDomain.value());
+    peer.setState(static_cast<schema::GossipPeer::State>(update.state));
+    peer.setAgeMs(std::uint32_t(inMilliseconds(update.age)));
+    peer.setUptimeMs(inMilliseconds(update.uptime));
+    peer.setStoreForMs(inMilliseconds(update.storeReachableFor));
+    peer.setMillicores(std::uint32_t(update.millicores));
+    peer.setStoreRefused(update.isStoreRefused);
+    peer.setDutyToken(update.dutyToken);
 }
 
 std::optional<routing::PeerUpdate> decodePeer(schema::GossipPeer::Reader peer)
@@ -31,27 +31,27 @@
     const auto state = static_cast<std::uint16_t>(peer.getState());
     if (state > static_cast<std::uint16_t>(routing::PeerState::Lost))
         return std::nullopt; // from a newer version
-    routing::PeerUpdate news;
-    news.ip = peer.getIp();
-    news.failureDomain = units::FailureDomain(peer.getFailureDomain());
-    news.state = static_cast<routing::PeerState>(state);
-    news.age = std::chrono::milliseconds(peer.getAgeMs());
-    news.uptime = std::chrono::milliseconds(peer.getUptimeMs());
-    news.millicores = int(peer.getMillicores());
-    news.storeReachableFor = std::chrono::milliseconds(peer.getStoreForMs());
-    news.isStoreRefused = peer.getStoreRefused();
-    news.dutyToken = peer.getDutyToken();
-    return news;
+    routing::PeerUpdate update;
+    update.ip = peer.getIp();
+    update.failureDomain = units::FailureDomain(peer.getFailureDomain());
+    update.state = static_cast<routing::PeerState>(state);
+    update.age = std::chrono::milliseconds(peer.getAgeMs());
+    update.uptime = std::chrono::milliseconds(peer.getUptimeMs());
+    update.millicores = int(peer.getMillicores());
+    update.storeReachableFor = std::chrono::milliseconds(peer.getStoreForMs());
+    update.isStoreRefused = peer.getStoreRefused();
+    update.dutyToken = peer.getDutyToken();
+    return update;
 }
 
-void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &news)
+void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &update)
 {
-    crash.setKind(static_cast<schema::CrashNews::Kind>(news.kind));
-    crash.setWorkspace(news.request.workspace.value());
-    crash.setDigest(news.request.digest.value());
-    crash.setEndpoint(news.endpoint.id.value());
-    crash.setIncarnation(news.endpoint.incarnation.value());
-    crash.setAgeMs(inMilliseconds(news.age));
+    crash.setKind(static_cast<schema::CrashNews::Kind>(update.kind));
+    crash.setWorkspace(update.request.workspace.value());
+    crash.setDigest(update.request.digest.value());
+    crash.setEndpoint(update.endpoint.id.value());
+    crash.setIncarnation(update.endpoint.incarnation.value());
+    crash.setAgeMs(inMilliseconds(update.age));
 }
 
 std::optional<routing::CrashUpdate> decodeCrash(schema::CrashNews::Reader crash)
@@ -59,36 +59,36 @@
     const auto kind = static_cast<std::uint16_t>(crash.getKind());
     if (kind > static_cast<std::uint16_t>(routing::CrashUpdate::Kind::EndpointAnswered))
         return std::nullopt; // from a newer version
-    routing::CrashUpdate news;
-    news.kind = static_cast<routing::CrashUpdate::Kind>(kind);
-    news.request.workspace = units::WorkspaceName(crash.getWorkspace());
-    news.request.digest = routing::RequestDigest(crash.getDigest());
-    news.endpoint
+    routing::CrashUpdate update;
+    update.kind = static_cast<routing::CrashUpdate::Kind>(kind);
+    update.request.workspace = units::WorkspaceName(crash.getWorkspace());
+    update.request.digest = routing::RequestDigest(crash.getDigest());
+    update.endpoint
         = {units::EndpointId(crash.getEndpoint()), routing::Incarnation(crash.getIncarnation())};
-    news.age = std::chrono::milliseconds(crash.getAgeMs());
-    return news;
+    update.age = std::chrono::milliseconds(crash.getAgeMs());
+    return update;
 }
 
-void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &news)
+void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &update)
 {
-    limit.setEndpoint(news.endpoint.id.value());
-    limit.setIncarnation(news.endpoint.incarnation.value());
-    limit.setIsLimited(news.limit.has_value());
-    limit.setRequestsPerSecond(news.limit.value_or(0));
-    limit.setAgeMs(inMilliseconds(news.age));
+    limit.setEndpoint(update.endpoint.id.value());
+    limit.setIncarnation(update.endpoint.incarnation.value());
+    limit.setIsLimited(update.limit.has_value());
+    limit.setRequestsPerSecond(update.limit.value_or(0));
+    limit.setAgeMs(inMilliseconds(update.age));
 }
 
 std::optional<routing::RateLimitUpdate> decodeLimit(schema::LimitNews::Reader limit)
 {
     if (!std::isfinite(limit.getRequestsPerSecond()) || limit.getRequestsPerSecond() < 0)
         return std::nullopt;
-    routing::RateLimitUpdate news;
-    news.endpoint
+    routing::RateLimitUpdate update;
+    update.endpoint
         = {units::EndpointId(limit.getEndpoint()), routing::Incarnation(limit.getIncarnation())};
     if (limit.getIsLimited())
-        news.limit = limit.getRequestsPerSecond();
-    news.age = std::chrono::milliseconds(limit.getAgeMs());
-    return news;
+        update.limit = limit.getRequestsPerSecond();
+    update.age = std::chrono::milliseconds(limit.getAgeMs());
+    return update;
 }
 
 } // namespace monsoongrade::gateway::internal
--- a/src/gateway/internal/gossipmessages.h
+++ b/src/gateway/internal/gossipmessages.h
@@ -11,15 +11,16 @@
 
 namespace monsoongrade::gateway::internal {
 
-// The parts of a gossip datagram. What a newer version says and this one can't read is left out.
+// Encode and decode the parts of a gossip datagram. Decoding returns nullopt for values that only a
+// newer version knows.
 
-void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &news);
+void encodePeer(schema::GossipPeer::Builder peer, const routing::PeerUpdate &update);
 std::optional<routing::PeerUpdate> decodePeer(schema::GossipPeer::Reader peer);
 
-void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &news);
+void encodeCrash(schema::CrashNews::Builder crash, const routing::CrashUpdate &update);
 std::optional<routing::CrashUpdate> decodeCrash(schema::CrashNews::Reader crash);
 
-void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &news);
+void encodeLimit(schema::LimitNews::Builder limit, const routing::RateLimitUpdate &update);
 std::optional<routing::RateLimitUpdate> decodeLimit(schema::LimitNews::Reader limit);
 
 } // namespace monsoongrade::gateway::internal
--- a/src/gateway/internal/packedmessage.h
+++ b/src/gateway/internal/packedmessage.h
@@ -7,8 +7,8 @@
 
 namespace monsoongrade::gateway::internal {
 
-// The bytes of a message in Cap'n Proto's packed encoding, for one datagram.
-inline std::string packed(capnp::MessageBuilder &message)
+// Serializes a message for one datagram, in Cap'n Proto's packed encoding.
+inline std::string serializePacked(capnp::MessageBuilder &message)
 {
     kj::VectorOutputStream out;
     capnp::writePackedMessage(out, message);
--- a/src/gateway/internal/placementmessages.h
+++ b/src/gateway/internal/placementmessages.h
@@ -12,10 +12,10 @@
 
 namespace monsoongrade::gateway::internal {
 
-// The datagrams between a host and the one that places requests for all; schema/placement.capnp has
-// their layout. Numbers are those of the asking host.
+// Datagrams between a host and the placement coordinator, as defined in schema/placement.capnp.
+// Numbers are assigned by the host that requests the placement.
 
-struct AskMessage
+struct QueryMessage
 {
     std::uint64_t number = 0;
     routing::PlacementQuery query;
@@ -24,16 +24,16 @@
 struct AnswerMessage
 {
     std::uint64_t number = 0;
-    units::EndpointId endpoint; // empty if no endpoint takes the request
+    units::EndpointId endpoint; // empty if no endpoint accepts the request
     std::int64_t tokensToRead = 0;
-    bool isWaiting = false; // no endpoint yet: another answer follows
-    std::optional<units::Duration> retryDelay; // refused because of a long queue
+    bool isWaiting = false; // queued; another answer follows
+    std::optional<units::Duration> retryDelay; // set if refused because of a long queue
 };
 
-struct NewsMessage
+struct EventMessage
 {
     std::uint64_t number = 0;
-    routing::PlacementEvent news = routing::PlacementEvent::Withdrawn;
+    routing::PlacementEvent event = routing::PlacementEvent::Withdrawn;
 };
 
 struct CachedPartsMessage
@@ -51,13 +51,13 @@
     std::vector<std::uint64_t> numbers;
 };
 
-using PlacementMessage = std::variant<AskMessage, AnswerMessage, NewsMessage, CachedPartsMessage,
+using PlacementMessage = std::variant<QueryMessage, AnswerMessage, EventMessage, CachedPartsMessage,
                                       StillWaitingMessage, NotWaitingMessage>;
 
-// The answer that tells of the choice.
-AnswerMessage answerOf(std::uint64_t number, const routing::PlacementChoice &choice);
+// Returns the answer that describes the choice.
+AnswerMessage answerFor(std::uint64_t number, const routing::PlacementChoice &choice);
 std::string encode(const PlacementMessage &message);
-// Throws kj::Exception if the bytes are not such a message.
+// Throws kj::Exception if the datagram is not a placement message.
 PlacementMessage decodePlacementMessage(std::string_view datagram);
 
 } // namespace monsoongrade::gateway::internal
--- a/src/gateway/peergossip.cpp
+++ b/src/gateway/peergossip.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-// A lost host is taken out of the directory's answers after 1.5 s, that is six rounds.
+// The directory stops listing a lost host after 1.5 s, which is six rounds.
 constexpr auto RoundInterval = std::chrono::milliseconds(250);
-// While nobody is known: hosts that start together do so within 0.3 s, and the one that the
-// settings name may be the last.
+// Used while no other host is known. Hosts that start together do so within 0.3 s, and the seed
+// host may be the last of them.
 constexpr auto FirstRoundInterval = std::chrono::milliseconds(20);
-// About 45 and 30 bytes each; the packet stays below 1,400 bytes.
+// Entries have about 45 and 30 bytes, so that the packet stays below 1,400 bytes.
 constexpr std::size_t MaxCrashes = 20;
 constexpr std::size_t MaxLimits = 10;
 
@@ -35,7 +35,7 @@
     , crashes_(crashes)
     , limits_(limits)
     , startedAt_(timers.now())
-    , rounds_(settings_.ownIp, std::random_device()())
+    , planner_(settings_.ownIp, std::random_device()())
 {
     for (const std::string &ip : settings_.seedIps) {
         if (ip != settings_.ownIp)
@@ -59,14 +59,14 @@
     if (state_ == state)
         return;
     state_ = state;
-    tell();
+    sendRound();
 }
 
-void PeerGossip::setStoreReachable(bool hasStore)
+void PeerGossip::setStoreReachable(bool isReachable)
 {
-    if (hasStore && !hasStore_)
-        storeSince_ = timers_.now();
-    hasStore_ = hasStore;
+    if (isReachable && !isStoreReachable_)
+        storeReachableSince_ = timers_.now();
+    isStoreReachable_ = isReachable;
 }
 
 void PeerGossip::receive()
@@ -75,8 +75,8 @@
                                [this](const asio::error_code &error, std::size_t count) {
                                    if (error == asio::error::operation_aborted)
                                        return;
-                                   // An error here is an ICMP report about an earlier datagram:
-                                   // that host is down.
+                                   // An error is an ICMP report that the recipient of an earlier
+                                   // datagram is down.
                                    if (!error)
                                        decode(std::string(buffer_.data(), count));
                                    receive();
@@ -85,16 +85,16 @@
 
 void PeerGossip::round()
 {
-    tell();
+    sendRound();
     if (onRound_)
         onRound_();
-    const bool knowsNobody = table_.live(timers_.now()).empty() && !settings_.seedIps.empty();
-    timers_.after(knowsNobody ? FirstRoundInterval : RoundInterval, [this] { round(); });
+    const bool knowsNoHost = table_.live(timers_.now()).empty() && !settings_.seedIps.empty();
+    timers_.after(knowsNoHost ? FirstRoundInterval : RoundInterval, [this] { round(); });
 }
 
-void PeerGossip::tell()
+void PeerGossip::sendRound()
 {
-    const routing::GossipPlanner::Round round = rounds_.next(table_, timers_.now());
+    const routing::GossipPlanner::Round round = planner_.next(table_, timers_.now());
     for (const std::string &ip : round.probeTargets)
         send(ip, encodeProbe());
     if (round.recipients.empty())
@@ -104,23 +104,23 @@
         = crashes_.takeUpdates(MaxCrashes, timers_.now());
     const std::vector<routing::RateLimitUpdate> limits
         = limits_.takeUpdates(MaxLimits, timers_.now());
-    const bool hasNews = !crashes.empty() || !limits.empty();
-    const std::string news = hasNews ? encodeNews(crashes, limits) : std::string();
+    const bool hasUpdates = !crashes.empty() || !limits.empty();
+    const std::string updates = hasUpdates ? encodeUpdates(crashes, limits) : std::string();
     for (const std::string &ip : round.recipients) {
         send(ip, datagram);
-        if (hasNews)
-            send(ip, news);
+        if (hasUpdates)
+            send(ip, updates);
     }
 }
 
-// A host that has just started can't know what is in quarantine.
-void PeerGossip::welcome(const std::string &newcomer)
+// Also sends the quarantined requests, which a host that has just started does not know.
+void PeerGossip::sendInitialState(const std::string &joiningHost)
 {
-    send(newcomer, encode(rounds_.newsForJoiningHost(table_, timers_.now())));
+    send(joiningHost, encode(planner_.newsForJoiningHost(table_, timers_.now())));
     const std::vector<routing::CrashUpdate> crashes
         = crashes_.quarantineNews(MaxCrashes, timers_.now());
     if (!crashes.empty())
-        send(newcomer, encodeNews(crashes, {}));
+        send(joiningHost, encodeUpdates(crashes, {}));
 }
 
 void PeerGossip::send(const std::string &ip, const std::string &datagram)
@@ -129,25 +129,25 @@
     const auto address = asio::ip::make_address_v4(ip, error);
     if (!error)
         socket_.send_to(asio::buffer(datagram), {address, settings_.port}, 0, error);
-    // A datagram that can't be sent counts as lost; the next round tries again.
+    // A datagram that can't be sent counts as lost; the next round sends again.
 }
 
 routing::PeerUpdate PeerGossip::own() const
 {
-    routing::PeerUpdate news;
-    news.ip = settings_.ownIp;
-    news.failureDomain = settings_.ownFailureDomain;
-    news.state = state_;
-    news.uptime = timers_.now() - startedAt_;
-    news.millicores = settings_.ownMillicores;
-    news.isStoreRefused = isStoreRefused_;
-    news.dutyToken = dutyToken_;
-    if (hasStore_)
-        news.storeReachableFor = timers_.now() - storeSince_;
-    return news;
+    routing::PeerUpdate update;
+    update.ip = settings_.ownIp;
+    update.failureDomain = settings_.ownFailureDomain;
+    update.state = state_;
+    update.uptime = timers_.now() - startedAt_;
+    update.millicores = settings_.ownMillicores;
+    update.isStoreRefused = isStoreRefused_;
+    update.dutyToken = dutyToken_;
+    if (isStoreReachable_)
+        update.storeReachableFor = timers_.now() - storeReachableSince_;
+    return update;
 }
 
-void PeerGossip::noteWallTime(const std::string &host, units::Duration sinceEpoch)
+void PeerGossip::reportWallTime(const std::string &host, units::Duration sinceEpoch)
 {
     if (sinceEpoch > units::Duration::zero() && onWallTime_)
         onWallTime_(host, sinceEpoch);
@@ -159,7 +159,7 @@
     auto root = message.initRoot<schema::GossipMessage>();
     internal::encodePeer(root.initSender(), own());
     root.setIsProbe(true);
-    return internal::packed(message);
+    return internal::serializePacked(message);
 }
 
 std::string PeerGossip::encode(const std::vector<routing::PeerUpdate> &others) const
@@ -173,11 +173,11 @@
     auto list = root.initKnown(unsigned(others.size()));
     for (std::size_t i = 0; i < others.size(); ++i)
         internal::encodePeer(list[unsigned(i)], others[i]);
-    return internal::packed(message);
+    return internal::serializePacked(message);
 }
 
-std::string PeerGossip::encodeNews(const std::vector<routing::CrashUpdate> &crashes,
-                                   const std::vector<routing::RateLimitUpdate> &limits) const
+std::string PeerGossip::encodeUpdates(const std::vector<routing::CrashUpdate> &crashes,
+                                      const std::vector<routing::RateLimitUpdate> &limits) const
 {
     capnp::MallocMessageBuilder message;
     auto root = message.initRoot<schema::GossipMessage>();
@@ -188,7 +188,7 @@
     auto limitList = root.initLimits(unsigned(limits.size()));
     for (std::size_t i = 0; i < limits.size(); ++i)
         internal::encodeLimit(limitList[unsigned(i)], limits[i]);
-    return internal::packed(message);
+    return internal::serializePacked(message);
 }
 
 void PeerGossip::decode(const std::string &datagram)
@@ -198,34 +198,34 @@
             kj::arrayPtr(reinterpret_cast<const kj::byte *>(datagram.data()), datagram.size()));
         capnp::PackedMessageReader message(in);
         const auto root = message.getRoot<schema::GossipMessage>();
-        std::vector<routing::PeerUpdate> heard;
-        std::string newcomer;
+        std::vector<routing::PeerUpdate> received;
+        std::string joiningHost;
         if (auto sender = internal::decodePeer(root.getSender())) {
             if (!table_.isLive(sender->ip, timers_.now()))
-                newcomer = sender->ip;
-            heard.push_back(*sender);
-            rounds_.onHeartbeat(sender->ip, timers_.now());
-            noteWallTime(sender->ip, std::chrono::milliseconds(root.getWallMs()));
+                joiningHost = sender->ip;
+            received.push_back(*sender);
+            planner_.onHeartbeat(sender->ip, timers_.now());
+            reportWallTime(sender->ip, std::chrono::milliseconds(root.getWallMs()));
         }
         for (const auto peer : root.getKnown()) {
-            if (auto news = internal::decodePeer(peer))
-                heard.push_back(*news);
+            if (auto update = internal::decodePeer(peer))
+                received.push_back(*update);
         }
         for (const auto crash : root.getCrashes()) {
-            if (const auto news = internal::decodeCrash(crash))
-                crashes_.receive(*news, timers_.now());
+            if (const auto update = internal::decodeCrash(crash))
+                crashes_.receive(*update, timers_.now());
         }
         for (const auto limit : root.getLimits()) {
-            const auto news = internal::decodeLimit(limit);
-            if (news && onLimit_)
-                onLimit_(*news);
+            const auto update = internal::decodeLimit(limit);
+            if (update && onLimit_)
+                onLimit_(*update);
         }
-        for (const routing::PeerUpdate &news : heard) {
-            if (news.ip != settings_.ownIp)
-                table_.receive(news, timers_.now());
+        for (const routing::PeerUpdate &update : received) {
+            if (update.ip != settings_.ownIp)
+                table_.receive(update, timers_.now());
         }
-        if (!newcomer.empty() && newcomer != settings_.ownIp)
-            welcome(newcomer);
+        if (!joiningHost.empty() && joiningHost != settings_.ownIp)
+            sendInitialState(joiningHost);
         else if (root.getIsProbe())
             send(sender_.address().to_string(), encode({}));
     });
--- a/src/gateway/placementmessages.cpp
+++ b/src/gateway/placementmessages.cpp
@@ -18,7 +18,7 @@
     return std::uint32_t(std::max<std::int64_t>(count, 0));
 }
 
-void write(const AskMessage &from, schema::PlacementMessage::Builder root)
+void write(const QueryMessage &from, schema::PlacementMessage::Builder root)
 {
     const routing::PlacementQuery &query = from.query;
     auto ask = root.initAsk();
@@ -38,9 +38,9 @@
         tried.set(unsigned(i), query.tried[i].value());
 }
 
-AskMessage read(schema::PlacementAsk::Reader ask)
+QueryMessage read(schema::PlacementAsk::Reader ask)
 {
-    AskMessage message;
+    QueryMessage message;
     message.number = ask.getNumber();
     routing::PlacementQuery &query = message.query;
     query.pool = units::PoolName(ask.getPool());
@@ -83,14 +83,14 @@
     return message;
 }
 
-void write(const NewsMessage &from, schema::PlacementMessage::Builder root)
+void write(const EventMessage &from, schema::PlacementMessage::Builder root)
 {
     auto news = root.initNews();
     news.setNumber(from.number);
-    news.setNews(static_cast<schema::PlacementNews::News>(from.news));
+    news.setNews(static_cast<schema::PlacementNews::News>(from.event));
 }
 
-NewsMessage read(schema::PlacementNews::Reader news)
+EventMessage read(schema::PlacementNews::Reader news)
 {
     return {news.getNumber(), static_cast<routing::PlacementEvent>(news.getNews())};
 }
@@ -125,7 +125,7 @@
 }
 
 template <typename ListBuilder>
-void fill(ListBuilder list, const std::vector<std::uint64_t> &numbers)
+void setNumbers(ListBuilder list, const std::vector<std::uint64_t> &numbers)
 {
     for (std::size_t i = 0; i < numbers.size(); ++i)
         list.set(unsigned(i), numbers[i]);
@@ -133,17 +133,17 @@
 
 void write(const StillWaitingMessage &from, schema::PlacementMessage::Builder root)
 {
-    fill(root.initStillWaiting().initNumbers(unsigned(from.numbers.size())), from.numbers);
+    setNumbers(root.initStillWaiting().initNumbers(unsigned(from.numbers.size())), from.numbers);
 }
 
 void write(const NotWaitingMessage &from, schema::PlacementMessage::Builder root)
 {
-    fill(root.initNotWaiting().initNumbers(unsigned(from.numbers.size())), from.numbers);
+    setNumbers(root.initNotWaiting().initNumbers(unsigned(from.numbers.size())), from.numbers);
 }
 
 } // namespace
 
-AnswerMessage answerOf(std::uint64_t number, const routing::PlacementChoice &choice)
+AnswerMessage answerFor(std::uint64_t number, const routing::PlacementChoice &choice)
 {
     AnswerMessage answer;
     answer.number = number;
@@ -160,7 +160,7 @@
     capnp::MallocMessageBuilder builder;
     const auto root = builder.initRoot<schema::PlacementMessage>();
     std::visit([&](const auto &each) { write(each, root); }, message);
-    return packed(builder);
+    return serializePacked(builder);
 }
 
 PlacementMessage decodePlacementMessage(std::string_view datagram)
@@ -183,7 +183,7 @@
     case schema::PlacementMessage::NOT_WAITING:
         return NotWaitingMessage{numbersOf(root.getNotWaiting().getNumbers())};
     }
-    KJ_FAIL_REQUIRE("a placement message of a newer version");
+    KJ_FAIL_REQUIRE("unknown type of placement message, sent by a newer version");
 }
 
 } // namespace monsoongrade::gateway::internal
--- a/src/gateway/placementservice.cpp
+++ b/src/gateway/placementservice.cpp
@@ -18,23 +18,23 @@
 
 using namespace internal;
 
-// An answer takes a round trip of 2 to 3 ms. A request for the tightest class has 250 ms, so a
-// lost datagram may cost a tenth of that.
+// An answer takes a round trip of 2 to 3 ms. Requests of the most urgent class have 250 ms, of
+// which a lost datagram may cost a tenth.
 constexpr auto AnswerTimeout = std::chrono::milliseconds(25);
-// Hosts that learn what is cached where. Two may be lost at the same time.
+// Hosts that are told which prompt parts are cached where. Two hosts may be lost at the same time.
 constexpr std::size_t Successors = 2;
-// About 40 bytes each; the datagram stays below 1,400 bytes.
+// Entries have about 40 bytes, so that the datagram stays below 1,400 bytes.
 constexpr std::size_t MaxPartsInDatagram = 25;
-// Between two looks at the waiting requests. A look at each piece of news would take all the
-// processor there is in a burst.
+// Interval for placing queued requests. Trying to place them at every event would use all CPU time
+// in a burst.
 constexpr auto WaitingInterval = std::chrono::milliseconds(4);
-// Between two checks that the placing host still has this one's waiting requests. All go in one
-// datagram: an ask for each would keep the placing host from answering anybody in time.
+// Interval for checking that the coordinator still has this host's queued requests. They share
+// datagrams, because with one query for each the coordinator could not answer other hosts in time.
 constexpr auto WaitingCheckInterval = std::chrono::milliseconds(250);
-// About 7 bytes each, packed.
+// Entries have about 7 bytes in packed encoding.
 constexpr std::size_t MaxNumbersInDatagram = 150;
-// Numbers of tickets begin anywhere below this many times 2^24: a restarted host that began at 1
-// would get the answers to the requests of its last run, which the placing host keeps for 12 s.
+// Ticket numbers start at a random multiple, below this one, of 2^24. A restarted host that started
+// at 1 would get answers to requests of its last run, which the coordinator keeps for 12 s.
 constexpr std::uint64_t NumberRanges = std::uint64_t(1) << 24;
 
 std::uint64_t firstNumber()
@@ -60,87 +60,88 @@
     socket_.non_blocking(true);
 }
 
-std::uint64_t PlacementService::place(const routing::PlacementQuery &query, Placed placed)
+std::uint64_t PlacementService::place(const routing::PlacementQuery &query, PlacedHandler placed)
 {
     const std::uint64_t number = ++lastNumber_;
-    ask(number, {query, std::move(placed), {}, timers_.now()});
+    sendOrPlace(number, {query, std::move(placed), {}, timers_.now()});
     return number;
 }
 
-// Asks the host that places for all; decides here if it is this one.
-void PlacementService::ask(std::uint64_t number, Ask ask)
+// Sends the query to the coordinator, or places the request if this host is the coordinator.
+void PlacementService::sendOrPlace(std::uint64_t number, PendingQuery pending)
 {
     const units::TimePoint now = timers_.now();
-    ask.query.targetIn -= now - ask.askedAt;
-    ask.query.expiresIn -= now - ask.askedAt;
-    ask.askedAt = now;
-    ask.sentAt = now;
-    ask.isWaiting = false;
-    ask.wasRepeated = false;
-    ask.decider = ask.query.runsModel
-        ? trust_.selectHost(orderFor(ask.query.pool), settings_.ownIp, now)
+    pending.query.targetIn -= now - pending.updatedAt;
+    pending.query.expiresIn -= now - pending.updatedAt;
+    pending.updatedAt = now;
+    pending.sentAt = now;
+    pending.isWaiting = false;
+    pending.wasRepeated = false;
+    pending.coordinator = pending.query.runsModel
+        ? selector_.selectHost(rankingFor(pending.query.pool), settings_.ownIp, now)
         : std::string();
-    if (ask.decider.empty()) {
-        placeAlone(number, ask.query, ask.placed);
+    if (pending.coordinator.empty()) {
+        placeLocally(number, pending.query, pending.placed);
         return;
     }
-    ask.timeout = timers_.after(AnswerTimeout, [this, number] { onTimeout(number); });
-    send(ask.decider, encode(AskMessage{number, ask.query}));
-    asks_[number] = std::move(ask);
+    pending.timeout = timers_.after(AnswerTimeout, [this, number] { onTimeout(number); });
+    send(pending.coordinator, encode(QueryMessage{number, pending.query}));
+    pending_[number] = std::move(pending);
 }
 
-void PlacementService::placeAlone(std::uint64_t number, const routing::PlacementQuery &query,
-                                  const Placed &placed)
+void PlacementService::placeLocally(std::uint64_t number, const routing::PlacementQuery &query,
+                                    const PlacedHandler &placed)
 {
     const routing::PlacementTicket ticket{settings_.ownIp, number};
     const routing::PlacementChoice choice
-        = desk_.place(ticket, query, registry_.available(query.pool), timers_.now());
+        = placer_.place(ticket, query, registry_.available(query.pool), timers_.now());
     if (choice.isWaiting)
-        ownWaiting_[number] = placed;
+        localWaiting_[number] = placed;
     else
         placed(ticket, choice);
 }
 
-void PlacementService::tell(const routing::PlacementTicket &ticket, routing::PlacementEvent news)
+void PlacementService::report(const routing::PlacementTicket &ticket, routing::PlacementEvent event)
 {
-    const auto decider = deciders_.find(ticket.number);
-    if (decider == deciders_.end()) {
-        desk_.onEvent(ticket, news, timers_.now());
-        ownWaiting_.erase(ticket.number);
-        placeWaitingSoon();
+    const auto coordinator = coordinators_.find(ticket.number);
+    if (coordinator == coordinators_.end()) {
+        placer_.onEvent(ticket, event, timers_.now());
+        localWaiting_.erase(ticket.number);
+        schedulePlaceWaiting();
         return;
     }
-    send(decider->second, encode(NewsMessage{ticket.number, news}));
-    const bool staysOpen = news == routing::PlacementEvent::FirstEvent
-        || news == routing::PlacementEvent::EndpointSilent;
+    send(coordinator->second, encode(EventMessage{ticket.number, event}));
+    const bool staysOpen = event == routing::PlacementEvent::FirstEvent
+        || event == routing::PlacementEvent::EndpointSilent;
     if (!staysOpen)
-        deciders_.erase(decider);
+        coordinators_.erase(coordinator);
 }
 
 const std::string &PlacementService::placedBy(const routing::PlacementTicket &ticket) const
 {
-    const auto found = deciders_.find(ticket.number);
-    return found == deciders_.end() ? settings_.ownIp : found->second;
+    const auto found = coordinators_.find(ticket.number);
+    return found == coordinators_.end() ? settings_.ownIp : found->second;
 }
 
 bool PlacementService::hasEndpoint(const routing::PlacementQuery &query) const
 {
-    return desk_.hasEndpoint(query, registry_.available(query.pool), timers_.now());
+    return placer_.hasEndpoint(query, registry_.available(query.pool), timers_.now());
 }
 
-void PlacementService::setOrders(std::vector<std::string> ofFleet, std::vector<std::string> ofCell)
+void PlacementService::setCoordinatorRankings(std::vector<std::string> ofFleet,
+                                              std::vector<std::string> ofCell)
 {
-    orderOfFleet_ = std::move(ofFleet);
-    orderOfCell_ = std::move(ofCell);
-    tellSuccessors();
+    fleetRanking_ = std::move(ofFleet);
+    cellRanking_ = std::move(ofCell);
+    updateSuccessors();
 }
 
-const std::vector<std::string> &PlacementService::orderFor(const units::PoolName &pool) const
+const std::vector<std::string> &PlacementService::rankingFor(const units::PoolName &pool) const
 {
-    return registry_.division().isDivided(pool) ? orderOfCell_ : orderOfFleet_;
+    return registry_.division().isDivided(pool) ? cellRanking_ : fleetRanking_;
 }
 
-// Hosts that take over where this one places for others.
+// Returns the hosts that take over if this host is coordinator and is lost.
 std::vector<std::string> PlacementService::successors() const
 {
     std::vector<std::string> found;
@@ -156,15 +157,15 @@
                 found.push_back(host);
         }
     };
-    addFirstOf(orderOfCell_);
-    if (!orderOfFleet_.empty() && orderOfFleet_.front() == settings_.ownIp)
-        addFirstOf(orderOfFleet_);
+    addFirstOf(cellRanking_);
+    if (!fleetRanking_.empty() && fleetRanking_.front() == settings_.ownIp)
+        addFirstOf(fleetRanking_);
     return found;
 }
 
-void PlacementService::tellSuccessors()
+void PlacementService::updateSuccessors()
 {
-    const std::vector<routing::CachedPart> parts = desk_.takeNewCachedParts();
+    const std::vector<routing::CachedPart> parts = placer_.takeNewCachedParts();
     if (parts.empty())
         return;
     const std::vector<std::string> hosts = successors();
@@ -180,56 +181,56 @@
 
 void PlacementService::onTimeout(std::uint64_t number)
 {
-    const auto found = asks_.find(number);
-    if (found == asks_.end())
+    const auto found = pending_.find(number);
+    if (found == pending_.end())
         return;
-    const bool isLost = isLostAfterMiss(found->second.decider, found->second.sentAt);
+    const bool isLost = isLostAfterTimeout(found->second.coordinator, found->second.sentAt);
     if (!found->second.wasRepeated && !isLost) {
-        Ask &again = found->second;
+        PendingQuery &again = found->second;
         again.wasRepeated = true;
         again.sentAt = timers_.now();
         again.timeout = timers_.after(AnswerTimeout, [this, number] { onTimeout(number); });
-        send(again.decider, encode(AskMessage{number, again.query}));
+        send(again.coordinator, encode(QueryMessage{number, again.query}));
         return;
     }
-    const Ask ask = std::move(found->second);
-    asks_.erase(found);
+    const PendingQuery pending = std::move(found->second);
+    pending_.erase(found);
     metrics_.add("monsoongrade_gateway_placements_unanswered_total");
-    // Its late choice must not count as load there.
-    send(ask.decider, encode(NewsMessage{number, routing::PlacementEvent::Withdrawn}));
-    // Without the other hosts' requests in view, waiting here would only add delay.
-    routing::PlacementQuery query = ask.query;
+    // A late choice of the coordinator must not count as load there.
+    send(pending.coordinator, encode(EventMessage{number, routing::PlacementEvent::Withdrawn}));
+    // Since this host does not know the other hosts' requests, queueing would only add delay.
+    routing::PlacementQuery query = pending.query;
     query.mayWait = false;
     query.isLocalFallback = true;
-    placeAlone(number, query, ask.placed);
+    placeLocally(number, query, pending.placed);
 }
 
-bool PlacementService::isLostAfterMiss(const std::string &host, units::TimePoint asked)
+bool PlacementService::isLostAfterTimeout(const std::string &host, units::TimePoint sentAt)
 {
-    if (!trust_.onAnswerOverdue(host, asked, timers_.now()))
+    if (!selector_.onAnswerOverdue(host, sentAt, timers_.now()))
         return false;
     observability::log(observability::LogLevel::Warning, "placing-host-lost", {{"host", host}});
     return true;
 }
 
-void PlacementService::planWaitingCheck()
+void PlacementService::scheduleWaitingCheck()
 {
-    if (isCheckPlanned_)
+    if (isCheckScheduled_)
         return;
-    isCheckPlanned_ = true;
+    isCheckScheduled_ = true;
     timers_.after(WaitingCheckInterval, [this] {
-        isCheckPlanned_ = false;
+        isCheckScheduled_ = false;
         checkWaiting();
     });
 }
 
-// The answer to a waiting request may be lost, or the placing host with its queue.
+// Guards against the loss of an answer to a queued request, or of the coordinator and its queue.
 void PlacementService::checkWaiting()
 {
     std::map<std::string, std::vector<std::uint64_t>> numbers;
-    for (const auto &[number, ask] : asks_) {
-        if (ask.isWaiting)
-            numbers[ask.decider].push_back(number);
+    for (const auto &[number, pending] : pending_) {
+        if (pending.isWaiting)
+            numbers[pending.coordinator].push_back(number);
     }
     for (const auto &[host, ofHost] : numbers) {
         for (std::size_t begin = 0; begin < ofHost.size(); begin += MaxNumbersInDatagram) {
@@ -240,24 +241,24 @@
         }
         httpio::Timers::Handle &timeout = openChecks_[host];
         timers_.cancel(timeout);
-        const units::TimePoint asked = timers_.now();
+        const units::TimePoint sentAt = timers_.now();
         timeout = timers_.after(AnswerTimeout,
-                                [this, host = host, asked] { onCheckUnanswered(host, asked); });
+                                [this, host = host, sentAt] { onCheckTimeout(host, sentAt); });
     }
     if (!numbers.empty())
-        planWaitingCheck();
+        scheduleWaitingCheck();
 }
 
-void PlacementService::onCheckUnanswered(const std::string &host, units::TimePoint asked)
+void PlacementService::onCheckTimeout(const std::string &host, units::TimePoint sentAt)
 {
     openChecks_.erase(host);
-    if (!isLostAfterMiss(host, asked)) {
+    if (!isLostAfterTimeout(host, sentAt)) {
         checkWaiting();
         return;
     }
     std::vector<std::uint64_t> numbers;
-    for (const auto &[number, ask] : asks_) {
-        if (ask.isWaiting && ask.decider == host)
+    for (const auto &[number, pending] : pending_) {
+        if (pending.isWaiting && pending.coordinator == host)
             numbers.push_back(number);
     }
     onMessage(host, NotWaitingMessage{std::move(numbers)});
@@ -269,7 +270,7 @@
                                [this](const asio::error_code &error, std::size_t count) {
                                    if (error == asio::error::operation_aborted)
                                        return;
-                                   // An error here is an ICMP report about an earlier datagram.
+                                   // An error is an ICMP report about an earlier datagram.
                                    if (!error)
                                        onDatagram({buffer_.data(), count});
                                    receive();
@@ -289,24 +290,24 @@
     }
 }
 
-void PlacementService::onMessage(const std::string &host, const AskMessage &message)
+void PlacementService::onMessage(const std::string &host, const QueryMessage &message)
 {
     metrics_.add("monsoongrade_gateway_placement_asks_total");
-    const auto choice = desk_.place({host, message.number}, message.query,
-                                    registry_.available(message.query.pool), timers_.now());
-    send(host, encode(answerOf(message.number, choice)));
+    const auto choice = placer_.place({host, message.number}, message.query,
+                                      registry_.available(message.query.pool), timers_.now());
+    send(host, encode(answerFor(message.number, choice)));
 }
 
-void PlacementService::onMessage(const std::string &host, const NewsMessage &message)
+void PlacementService::onMessage(const std::string &host, const EventMessage &message)
 {
-    desk_.onEvent({host, message.number}, message.news, timers_.now());
-    placeWaitingSoon();
+    placer_.onEvent({host, message.number}, message.event, timers_.now());
+    schedulePlaceWaiting();
 }
 
 void PlacementService::onMessage(const std::string &, const CachedPartsMessage &message)
 {
     for (const routing::CachedPart &part : message.parts)
-        desk_.addCachedPart(part, timers_.now());
+        placer_.addCachedPart(part, timers_.now());
 }
 
 void PlacementService::onMessage(const std::string &host, const StillWaitingMessage &message)
@@ -314,10 +315,10 @@
     NotWaitingMessage reply;
     for (const std::uint64_t number : message.numbers) {
         const routing::PlacementTicket ticket{host, number};
-        if (desk_.isWaiting(ticket))
+        if (placer_.isWaiting(ticket))
             continue;
-        if (const auto choice = desk_.choiceOf(ticket))
-            send(host, encode(answerOf(number, *choice)));
+        if (const auto choice = placer_.choiceOf(ticket))
+            send(host, encode(answerFor(number, *choice)));
         else
             reply.numbers.push_back(number);
     }
@@ -326,89 +327,90 @@
 
 void PlacementService::onMessage(const std::string &host, const NotWaitingMessage &message)
 {
-    trust_.onAnswer(host);
+    selector_.onAnswer(host);
     timers_.cancel(openChecks_[host]);
     for (const std::uint64_t number : message.numbers) {
-        const auto found = asks_.find(number);
-        if (found == asks_.end() || !found->second.isWaiting || found->second.decider != host)
+        const auto found = pending_.find(number);
+        if (found == pending_.end() || !found->second.isWaiting
+            || found->second.coordinator != host)
             continue; // answered meanwhile
-        Ask again = std::move(found->second);
-        asks_.erase(found);
-        ask(number, std::move(again));
+        PendingQuery again = std::move(found->second);
+        pending_.erase(found);
+        sendOrPlace(number, std::move(again));
     }
 }
 
-// Room may have come: tells the hosts whose waiting requests now have an endpoint.
-void PlacementService::placeWaitingSoon()
+// Called when an endpoint may have become free for queued requests.
+void PlacementService::schedulePlaceWaiting()
 {
-    if (!desk_.hasWaiting() || isPlacingPlanned_)
+    if (!placer_.hasWaiting() || isPlacingScheduled_)
         return;
-    isPlacingPlanned_ = true;
+    isPlacingScheduled_ = true;
     timers_.after(WaitingInterval, [this] {
-        isPlacingPlanned_ = false;
+        isPlacingScheduled_ = false;
         placeWaiting();
     });
 }
 
 void PlacementService::placeWaiting()
 {
-    for (const auto &[ticket, choice] : desk_.placeWaiting(registry_, timers_.now())) {
+    for (const auto &[ticket, choice] : placer_.placeWaiting(registry_, timers_.now())) {
         if (ticket.host != settings_.ownIp) {
-            send(ticket.host, encode(answerOf(ticket.number, choice)));
+            send(ticket.host, encode(answerFor(ticket.number, choice)));
             continue;
         }
-        const auto own = ownWaiting_.find(ticket.number);
-        if (own == ownWaiting_.end())
+        const auto own = localWaiting_.find(ticket.number);
+        if (own == localWaiting_.end())
             continue;
-        const Placed placed = std::move(own->second);
-        ownWaiting_.erase(own);
+        const PlacedHandler placed = std::move(own->second);
+        localWaiting_.erase(own);
         placed(ticket, choice);
     }
 }
 
 void PlacementService::withdraw(std::uint64_t number)
 {
-    const auto found = asks_.find(number);
-    if (found != asks_.end()) {
+    const auto found = pending_.find(number);
+    if (found != pending_.end()) {
         timers_.cancel(found->second.timeout);
-        deciders_[number] = found->second.decider;
-        asks_.erase(found);
+        coordinators_[number] = found->second.coordinator;
+        pending_.erase(found);
     }
-    tell({settings_.ownIp, number}, routing::PlacementEvent::Withdrawn);
+    report({settings_.ownIp, number}, routing::PlacementEvent::Withdrawn);
 }
 
 void PlacementService::onMessage(const std::string &host, const AnswerMessage &message)
 {
-    const auto found = asks_.find(message.number);
-    if (found == asks_.end() || found->second.decider != host)
-        return; // decided otherwise meanwhile
-    trust_.onAnswer(host);
+    const auto found = pending_.find(message.number);
+    if (found == pending_.end() || found->second.coordinator != host)
+        return; // placed by other means meanwhile
+    selector_.onAnswer(host);
     timers_.cancel(found->second.timeout);
     if (message.isWaiting) {
         found->second.isWaiting = true;
-        planWaitingCheck();
+        scheduleWaitingCheck();
         return;
     }
-    const Ask ask = std::move(found->second);
-    asks_.erase(found);
+    const PendingQuery pending = std::move(found->second);
+    pending_.erase(found);
     if (message.retryDelay) {
         routing::PlacementChoice refused;
         refused.retryDelay = message.retryDelay;
-        ask.placed({settings_.ownIp, message.number}, std::move(refused));
+        pending.placed({settings_.ownIp, message.number}, std::move(refused));
         return;
     }
     const units::TimePoint now = timers_.now();
     const auto status = registry_.findAvailable(message.endpoint);
     if (status != nullptr && status->health.accepts(now)) {
-        deciders_[message.number] = host;
-        ask.placed({settings_.ownIp, message.number}, {status, message.tokensToRead});
+        coordinators_[message.number] = host;
+        pending.placed({settings_.ownIp, message.number}, {status, message.tokensToRead});
         return;
     }
-    // The other host does not know yet that the endpoint left or fails, or knows of none.
-    send(host, encode(NewsMessage{message.number, routing::PlacementEvent::Withdrawn}));
-    routing::PlacementQuery query = ask.query;
+    // The coordinator knows no endpoint, or does not know yet that this one left or fails.
+    send(host, encode(EventMessage{message.number, routing::PlacementEvent::Withdrawn}));
+    routing::PlacementQuery query = pending.query;
     query.isLocalFallback = true;
-    placeAlone(message.number, query, ask.placed);
+    placeLocally(message.number, query, pending.placed);
 }
 
 void PlacementService::send(const std::string &ip, const std::string &datagram)
@@ -417,7 +419,7 @@
     const auto address = asio::ip::make_address_v4(ip, error);
     if (!error)
         socket_.send_to(asio::buffer(datagram), {address, settings_.port}, 0, error);
-    // A datagram that can't be sent counts as lost; the sender's timeout covers it.
+    // A datagram that can't be sent counts as lost; timeouts handle it.
 }
 
 } // namespace monsoongrade::gateway
--- a/src/gateway/quarantinepersister.cpp
+++ b/src/gateway/quarantinepersister.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 constexpr auto RoundInterval = std::chrono::seconds(1);
-constexpr auto ReadAgainInterval = std::chrono::seconds(2);
+constexpr auto ReadRetryInterval = std::chrono::seconds(2);
 
 } // namespace
 
@@ -29,7 +29,7 @@
         if (kept)
             onRead(*kept);
         else
-            timers_.after(ReadAgainInterval, [this] { read(); });
+            timers_.after(ReadRetryInterval, [this] { read(); });
     });
 }
 
@@ -37,13 +37,13 @@
 {
     const units::TimePoint now = timers_.now();
     std::set<routing::RequestIdentity> requests;
-    for (const routing::CrashUpdate &news : kept) {
-        crashes_.receive(news, now);
-        requests.insert(news.request);
+    for (const routing::CrashUpdate &update : kept) {
+        crashes_.receive(update, now);
+        requests.insert(update.request);
     }
     for (const routing::RequestIdentity &request : requests) {
         if (!crashes_.quarantineRemaining(request, now))
-            store_.remove(request); // it is over
+            store_.remove(request); // the quarantine has expired
     }
 }
 
@@ -55,7 +55,7 @@
             continue;
         store_.save(request, crashes_.crashesOf(request, now), [this, request](bool isSaved) {
             if (!isSaved)
-                saved_.erase(request); // tried again in the next round
+                saved_.erase(request); // retried in the next round
         });
     }
     for (auto request = saved_.begin(); request != saved_.end();) {
--- a/src/gateway/ratelimitedlog.cpp
+++ b/src/gateway/ratelimitedlog.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// One line takes about 15 us on a full core, so 20 lines a second of each of a handful of events
-// stay below 1% of a quarter core.
+// Writing a line takes about 15 us on a full core, so 20 lines a second for each of a few events
+// use less than 1% of a quarter core.
 constexpr int LinesPerWindow = 20;
 constexpr auto Window = std::chrono::seconds(1);
 
--- a/src/gateway/startupgate.cpp
+++ b/src/gateway/startupgate.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// A first read takes some milliseconds, and below a second where a whole fleet reads at once.
-constexpr auto WaitFromStart = std::chrono::milliseconds(800);
+// The first read takes some milliseconds, and less than a second if the whole fleet reads at once.
+constexpr auto MaxWaitFromStart = std::chrono::milliseconds(800);
 
 } // namespace
 
 StartupGate::StartupGate(httpio::Timers &timers)
     : timers_(timers)
-    , waitEndsAt_(timers.now() + WaitFromStart)
+    , opensAt_(timers.now() + MaxWaitFromStart)
 {
 }
 
@@ -21,30 +21,30 @@
 {
     hasConfiguration_ = true;
     if (isComplete())
-        release();
+        callWaiting();
 }
 
 void StartupGate::onEndpoints()
 {
     hasEndpoints_ = true;
     if (isComplete())
-        release();
+        callWaiting();
 }
 
-bool StartupGate::isAwaited() const
+bool StartupGate::isClosed() const
 {
-    return !isComplete() && timers_.now() < waitEndsAt_;
+    return !isComplete() && timers_.now() < opensAt_;
 }
 
-void StartupGate::await(std::function<void()> function)
+void StartupGate::callWhenOpen(std::function<void()> function)
 {
     waiting_.push_back(std::move(function));
     if (!isTimerSet_)
-        timers_.at(waitEndsAt_, [this] { release(); });
+        timers_.at(opensAt_, [this] { callWaiting(); });
     isTimerSet_ = true;
 }
 
-void StartupGate::release()
+void StartupGate::callWaiting()
 {
     std::vector<std::function<void()>> waiting;
     waiting.swap(waiting_);
--- a/src/gateway/usagemeter.cpp
+++ b/src/gateway/usagemeter.cpp
@@ -18,10 +18,11 @@
 
 namespace {
 
-// Keeps a datagram below the size of a packet.
+// Keeps a datagram within one packet.
 constexpr std::size_t MaxEntries = 50;
 
-std::string lifeOf(const std::string &ip)
+// Returns a new id for each run of the process, whose counts start at zero.
+std::string newSourceId(const std::string &ip)
 {
     std::random_device random;
     return ip + "/" + std::to_string(random());
@@ -47,7 +48,7 @@
             counts[unsigned(i)].setTotal(std::uint32_t(entries[i]->total));
         }
     }
-    return internal::packed(message);
+    return internal::serializePacked(message);
 }
 
 } // namespace
@@ -58,8 +59,8 @@
     , timers_(timers)
     , settings_(std::move(settings))
     , hosts_(std::move(hosts))
-    , ledger_(lifeOf(settings_.ownIp))
-    , telling_(settings_.ownIp)
+    , ledger_(newSourceId(settings_.ownIp))
+    , publisher_(settings_.ownIp)
 {
     socket_.open(asio::ip::udp::v4());
     socket_.set_option(asio::socket_base::reuse_address(true));
@@ -81,7 +82,7 @@
     return wallTime_.at(now);
 }
 
-void UsageMeter::onBegan(const units::WorkspaceName &workspace)
+void UsageMeter::onRequestStarted(const units::WorkspaceName &workspace)
 {
     if (!workspace.isEmpty())
         ledger_.increment(settings_.windows.windowAt(now()), workspace);
@@ -97,15 +98,16 @@
     const duties::WindowNumber oldest
         = settings_.windows.windowAt(now() - settings_.windows.dueWithin);
     ledger_.eraseBefore(duties::WindowNumber(oldest.value() - 1));
-    tell();
+    sendCounts();
     timers_.after(duties::UsagePublisher::interval(hosts_().size()), [this] { round(); });
 }
 
-void UsageMeter::tell()
+void UsageMeter::sendCounts()
 {
-    const std::vector<std::string> keepers = duties::usageCollectors(hosts_());
-    for (const duties::UsageUpdate &news : telling_.nextUpdates(keepers, ledger_, timers_.now()))
-        send(news.collector, news.entries);
+    const std::vector<std::string> collectors = duties::usageCollectors(hosts_());
+    for (const duties::UsageUpdate &update :
+         publisher_.nextUpdates(collectors, ledger_, timers_.now()))
+        send(update.collector, update.entries);
 }
 
 void UsageMeter::send(const std::string &ip, const std::vector<duties::UsageEntry> &entries)
@@ -113,13 +115,13 @@
     asio::error_code error;
     const auto address = asio::ip::make_address_v4(ip, error);
     if (error)
-        return; // gossip carries only addresses that were bound
+        return; // not expected: hosts gossip the addresses that they have bound
     for (std::size_t begin = 0; begin < entries.size(); begin += MaxEntries) {
         const std::size_t end = std::min(begin + MaxEntries, entries.size());
         const std::string datagram
             = encode(ledger_.sourceId(), entries.data() + begin, entries.data() + end);
         socket_.send_to(asio::buffer(datagram), {address, settings_.port}, 0, error);
-        // A datagram that can't be sent counts as lost; all is told again soon.
+        // A datagram that can't be sent counts as lost; all counts are sent again later.
     }
 }
 
@@ -129,7 +131,7 @@
                                [this](const asio::error_code &error, std::size_t count) {
                                    if (error == asio::error::operation_aborted)
                                        return;
-                                   // An error here is an ICMP report about an earlier datagram.
+                                   // An error is an ICMP report about an earlier datagram.
                                    if (!error)
                                        decode(std::string(buffer_.data(), count));
                                    receive();
--- a/tests/gateway/directory_test.cpp
+++ b/tests/gateway/directory_test.cpp
@@ -16,14 +16,14 @@
 
 PeerUpdate peer(const std::string &ip, PeerState state, const std::string &domain = "d")
 {
-    PeerUpdate news;
-    news.ip = ip;
-    news.state = state;
-    news.failureDomain = units::FailureDomain(domain);
-    return news;
+    PeerUpdate update;
+    update.ip = ip;
+    update.state = state;
+    update.failureDomain = units::FailureDomain(domain);
+    return update;
 }
 
-// count hosts, a third in each of three domains.
+// Returns count hosts, a third of them in each of three domains.
 std::vector<PeerUpdate> fleet(int count)
 {
     std::vector<PeerUpdate> hosts;
@@ -52,8 +52,8 @@
 
 TEST_CASE("Directory.EachHostOfALargeFleetGetsCallers")
 {
-    // 81 hosts and room for 64. Taking the first 64 by address left 17 hosts without a caller and
-    // the others with more than their share.
+    // Guards against naming the first 64 of 81 hosts by address, which left 17 hosts without
+    // callers and overloaded the others.
     const std::vector<PeerUpdate> all = fleet(81);
     std::map<std::string, int> named;
     for (const char *domain : {"0", "1", "2"}) {
@@ -80,8 +80,8 @@
 
 TEST_CASE("Directory.AllHostsGiveTheSameAnswer")
 {
-    // Callers ask several hosts in turn. If each named others of too many, callers would close
-    // connections and make new ones with each answer.
+    // Callers query several hosts in turn. If each host named a different subset, callers would
+    // close and reopen connections after each answer.
     const std::vector<PeerUpdate> all = fleet(81);
     std::set<Hosts> answers;
     for (std::size_t own = 0; own < 3; ++own) {
--- a/tests/gateway/eventrelay_test.cpp
+++ b/tests/gateway/eventrelay_test.cpp
@@ -19,45 +19,45 @@
 
 } // namespace
 
-TEST_CASE("EventRelay.PassesWholeEventsOnly")
+TEST_CASE("EventRelay.PassesCompleteEventsOnly")
 {
     EventRelay relay;
-    CHECK(relay.take("id: 1\nda", at(0)).empty());
-    CHECK(relay.take("ta: d\n\nid: 2", at(0)).substr(0, 6) == "id: 1\n");
+    CHECK(relay.feed("id: 1\nda", at(0)).empty());
+    CHECK(relay.feed("ta: d\n\nid: 2", at(0)).substr(0, 6) == "id: 1\n");
     CHECK(relay.lastId() == "1");
     CHECK(relay.hasPartialEvent());
 }
 
-TEST_CASE("EventRelay.ResumeLeavesOutWhatTheClientHas")
+TEST_CASE("EventRelay.ResumeOmitsEventsTheClientHas")
 {
     EventRelay relay;
-    relay.take(event(1) + event(2) + "id: 3\nda", at(0));
+    relay.feed(event(1) + event(2) + "id: 3\nda", at(0));
     relay.resume();
-    CHECK(relay.take(event(2) + event(3), at(0)) == event(3));
+    CHECK(relay.feed(event(2) + event(3), at(0)) == event(3));
     CHECK_FALSE(relay.hasGap());
 }
 
-TEST_CASE("EventRelay.TellsTheLongestPauseWithTheChangeOfEndpoint")
+TEST_CASE("EventRelay.LongestPauseIncludesTheChangeOfEndpoint")
 {
-    // A caller complains of a late stream. The log has to tell whether the first event was late or
-    // the stream paused, and a resume is a pause too.
+    // From these times the log shows whether the first event of a slow stream was late or the
+    // stream paused. A resume counts as a pause.
     EventRelay relay;
     CHECK_FALSE(relay.firstEventAt());
-    relay.take("id: 1\n", at(5)); // half an event is none
-    relay.take("data: d\n\n", at(10));
-    relay.take(event(2), at(40));
+    relay.feed("id: 1\n", at(5)); // an incomplete event does not count
+    relay.feed("data: d\n\n", at(10));
+    relay.feed(event(2), at(40));
     relay.resume();
-    relay.take(event(2), at(90)); // the client has it
-    relay.take(event(3), at(140));
+    relay.feed(event(2), at(90)); // the client already has it
+    relay.feed(event(3), at(140));
     CHECK(relay.firstEventAt() == at(10));
     CHECK(relay.longestPause() == std::chrono::milliseconds(100));
 }
 
-TEST_CASE("EventRelay.ResumeWithAMissingEventIsAGap")
+TEST_CASE("EventRelay.ResumeWithMissingEventIsAGap")
 {
     EventRelay relay;
-    relay.take(event(1) + event(2), at(0));
+    relay.feed(event(1) + event(2), at(0));
     relay.resume();
-    relay.take(event(4), at(0));
+    relay.feed(event(4), at(0));
     CHECK(relay.hasGap());
 }
--- a/tests/gateway/peergossip_test.cpp
+++ b/tests/gateway/peergossip_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::uint16_t Port = 17352;
 
-// Test programs run side by side: each takes addresses by its process id.
+// Test programs run in parallel; each derives its addresses from its process id.
 std::string addressOf(std::size_t host)
 {
     const int pid = int(getpid());
@@ -77,7 +77,7 @@
             ->crashes.quarantineRemaining(Fatal, hosts[host]->timers.now())
             .has_value();
     }
-    // Runs the hosts until the condition holds, for 3 s at most; whether it does.
+    // Runs the hosts until the condition holds, for at most 3 s. Returns whether it holds.
     bool runUntil(const std::function<bool()> &isDone)
     {
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(3);
@@ -98,8 +98,8 @@
 
 } // namespace
 
-// Guards against a host that sends on what other hosts saw crash endpoints.
-TEST_CASE("PeerGossip.CrashesSeenByDifferentHostsQuarantineARequestOnAll")
+// Guards against forwarding a request under which endpoints crashed that other hosts used.
+TEST_CASE("PeerGossip.CrashesSeenByDifferentHostsQuarantineARequestOnAllHosts")
 {
     Fleet fleet(3);
     for (std::size_t host = 0; host < 3; ++host)
@@ -111,8 +111,8 @@
         CHECK(fleet.awaitQuarantine(host));
 }
 
-// Guards against a restarted host that sends on what has been in quarantine for long.
-TEST_CASE("PeerGossip.RestartedHostLearnsTheQuarantine")
+// Guards against a restarted host that forwards a request quarantined long before.
+TEST_CASE("PeerGossip.RestartedHostReceivesTheQuarantine")
 {
     Fleet fleet(2);
     for (int endpoint = 0; endpoint < 3; ++endpoint)
@@ -125,18 +125,19 @@
     CHECK(fleet.awaitQuarantine(1));
 }
 
-// Guards against a placing host that overloads an endpoint whose limit only other hosts were told.
+// Guards against a coordinator that overloads an endpoint whose limit only other hosts received.
 TEST_CASE("PeerGossip.LimitOfAnEndpointReachesOtherHosts")
 {
     Fleet fleet(3);
-    std::optional<routing::RateLimitUpdate> heard;
-    fleet.hosts[2]->gossip.onLimit([&](const routing::RateLimitUpdate &news) { heard = news; });
+    std::optional<routing::RateLimitUpdate> received;
+    fleet.hosts[2]->gossip.onLimit(
+        [&](const routing::RateLimitUpdate &update) { received = update; });
     const routing::EndpointInstance endpoint{units::EndpointId("e1"), routing::Incarnation(7)};
     fleet.hosts[1]->limits.update(endpoint, 1.6, fleet.hosts[1]->timers.now());
-    REQUIRE(fleet.runUntil([&] { return heard.has_value(); }));
-    CHECK(heard->endpoint == endpoint);
-    CHECK(heard->limit == 1.6);
-    heard.reset();
+    REQUIRE(fleet.runUntil([&] { return received.has_value(); }));
+    CHECK(received->endpoint == endpoint);
+    CHECK(received->limit == 1.6);
+    received.reset();
     fleet.hosts[1]->limits.update(endpoint, std::nullopt, fleet.hosts[1]->timers.now());
-    REQUIRE(fleet.runUntil([&] { return heard && !heard->limit; }));
+    REQUIRE(fleet.runUntil([&] { return received && !received->limit; }));
 }
--- a/tests/gateway/placementservice_test.cpp
+++ b/tests/gateway/placementservice_test.cpp
@@ -17,7 +17,7 @@
 
 const units::PoolName Pool("p");
 
-// Test programs run side by side: each takes addresses by its process id.
+// Test programs run in parallel; each derives its addresses from its process id.
 std::string addressOf(int host)
 {
     const int pid = int(getpid());
@@ -25,7 +25,7 @@
         + "." + std::to_string(1 + (pid % 64) * 3 + host);
 }
 
-// One host with its own loop, so that it can be stopped like a frozen process.
+// A host with its own event loop, which a test can stop to simulate a frozen process.
 struct Host
 {
     Host(int number, const std::vector<std::string> &order)
@@ -38,7 +38,7 @@
         endpoint.address = "127.0.0.1:1";
         endpoint.slots = 64;
         registry.update(endpoint);
-        placement.setOrders(order, order);
+        placement.setCoordinatorRankings(order, order);
         placement.start();
     }
 
@@ -60,8 +60,8 @@
     }
 }
 
-// A prompt of 108 ms to read; only the first few fit on the one endpoint, the others wait.
-routing::PlacementQuery longRead(int number)
+// A prompt with 108 ms of prefill. The one endpoint has room for only the first few of them.
+routing::PlacementQuery longPrompt(int number)
 {
     routing::PlacementQuery query;
     query.pool = Pool;
@@ -77,74 +77,76 @@
 
 } // namespace
 
-TEST_CASE("PlacementService.WaitingRequestsDoNotLoadThePlacingHost")
+TEST_CASE("PlacementService.WaitingRequestsDoNotLoadTheCoordinator")
 {
-    // In a burst thousands of long reads wait at the placing host. When each asked again by itself
-    // five times a second, that host had 10,000 asks a second to answer and answered new ones too
-    // late; the others placed alone and had prompts read again all over the pool.
+    // In a burst, thousands of long prompts are queued at the coordinator. When the query of each
+    // was repeated five times a second, the coordinator received 10,000 queries a second and
+    // answered new ones too late; the other hosts then placed requests themselves, and prompts were
+    // prefilled again all over the pool.
     const std::vector<std::string> order{addressOf(0), addressOf(1)};
-    Host placing(0, order);
-    Host asking(1, order);
+    Host coordinator(0, order);
+    Host requester(1, order);
     int placed = 0;
     for (int i = 0; i < 100; ++i)
-        asking.placement.place(longRead(i), [&](const auto &, const auto &) { ++placed; });
-    runFor(milliseconds(1200), {&placing, &asking});
-    const std::int64_t asks = placing.metrics.counter("monsoongrade_gateway_placement_asks_total");
-    CHECK_MESSAGE(asks <= 100, "expected one ask for each of 100 requests, got ", asks);
+        requester.placement.place(longPrompt(i), [&](const auto &, const auto &) { ++placed; });
+    runFor(milliseconds(1200), {&coordinator, &requester});
+    const std::int64_t queries
+        = coordinator.metrics.counter("monsoongrade_gateway_placement_asks_total");
+    CHECK_MESSAGE(queries <= 100, "expected one ask for each of 100 requests, got ", queries);
     CHECK_MESSAGE(placed < 100, "expected requests that wait, but all were placed");
 }
 
-TEST_CASE("PlacementService.WaitingRequestsMoveOnWhenThePlacingHostFreezes")
+TEST_CASE("PlacementService.WaitingRequestsArePlacedLocallyWhenTheCoordinatorFreezes")
 {
-    // Requests wait at the placing host, and it freezes. Its queue is gone for them: the asking
-    // host notices within two missed checks and takes them over.
+    // The coordinator freezes while requests are in its queue. The requesting host notices after at
+    // most two unanswered checks and places the requests itself.
     const std::vector<std::string> order{addressOf(2), addressOf(1)};
-    Host placing(2, order);
-    Host asking(1, order);
+    Host coordinator(2, order);
+    Host requester(1, order);
     int placed = 0;
     for (int i = 0; i < 20; ++i)
-        asking.placement.place(longRead(i), [&](const auto &, const auto &) { ++placed; });
-    runFor(milliseconds(100), {&placing, &asking});
+        requester.placement.place(longPrompt(i), [&](const auto &, const auto &) { ++placed; });
+    runFor(milliseconds(100), {&coordinator, &requester});
     const int before = placed;
     REQUIRE(before < 20);
-    runFor(milliseconds(800), {&asking});
+    runFor(milliseconds(800), {&requester});
     CHECK_MESSAGE(placed > before,
                   "expected the asking host to place waiting requests itself; before the freeze ",
                   before, " were placed, after it ", placed);
 }
 
-TEST_CASE("PlacementService.RepeatedAskGetsTheSameAnswerAndALateOneLeavesNoLoad")
+TEST_CASE("PlacementService.RepeatedQueryGetsTheSameAnswerAndALateOneLeavesNoLoad")
 {
-    // The placing host is stopped for a moment, so that the ask is repeated and then decided by the
-    // asking host. When the placing host goes on it sees both asks and the withdrawal; a choice
-    // that stayed there would count as load on the endpoint for seconds.
+    // The coordinator is stopped for a moment, so that the query is repeated and then the request
+    // is placed by the requesting host. When the coordinator continues, it receives both queries
+    // and the withdrawal; a choice kept there would count as load on the endpoint for seconds.
     const std::vector<std::string> order{addressOf(0), addressOf(1)};
-    Host placing(0, order);
-    Host asking(1, order);
+    Host coordinator(0, order);
+    Host requester(1, order);
     int placed = 0;
-    routing::PlacementQuery query = longRead(1);
+    routing::PlacementQuery query = longPrompt(1);
     query.mayWait = false;
-    asking.placement.place(query, [&](const auto &, const auto &) { ++placed; });
-    runFor(milliseconds(150), {&asking});
+    requester.placement.place(query, [&](const auto &, const auto &) { ++placed; });
+    runFor(milliseconds(150), {&requester});
     CHECK(placed == 1);
-    runFor(milliseconds(50), {&placing, &asking});
-    CHECK(placing.metrics.counter("monsoongrade_gateway_placement_asks_total") == 2);
+    runFor(milliseconds(50), {&coordinator, &requester});
+    CHECK(coordinator.metrics.counter("monsoongrade_gateway_placement_asks_total") == 2);
     CHECK(placed == 1);
-    CHECK(placing.placement.openRequests() == 0);
+    CHECK(coordinator.placement.openRequests() == 0);
 }
 
 TEST_CASE("PlacementService.RestartedHostDoesNotGetAnswersOfItsLastRun")
 {
-    // A host is killed with requests open and starts again under its address. The placing host
-    // still has the tickets of the last run; with the same numbers, new requests would get old
-    // answers.
+    // A host is killed with requests open and restarts with the same address. The coordinator still
+    // has the tickets of the last run; if numbers were reused, new requests would get old answers.
     const std::vector<std::string> order{addressOf(0), addressOf(1)};
-    Host placing(0, order);
+    Host coordinator(0, order);
     std::set<std::uint64_t> numbers;
     for (int run = 0; run < 2; ++run) {
-        Host asking(1, order);
+        Host requester(1, order);
         for (int i = 0; i < 3; ++i)
-            numbers.insert(asking.placement.place(longRead(i), [](const auto &, const auto &) {}));
+            numbers.insert(
+                requester.placement.place(longPrompt(i), [](const auto &, const auto &) {}));
     }
     CHECK(numbers.size() == 6);
 }
