--- a/tests/adapter/accounting_test.cpp
+++ b/tests/adapter/accounting_test.cpp
@@ -1,4 +1,4 @@
-#include "gatewayworld.h"
+#include "gatewayfixture.h"
 
 #include <doctest/doctest.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Sum of all series of a metric in the text of a metrics page.
+// Sum of all series of a metric in the response of the metrics endpoint.
 double sumOf(const std::string &page, const std::string &name)
 {
     double sum = 0;
@@ -23,33 +23,33 @@
 
 TEST_CASE("Accounting.AcceptedIsTheSumOfEndedAndInFlight")
 {
-    // Requests end in every way that there is: answered, refused for several reasons, failed by
-    // the worker, left by the client, and one is still open. Each is counted once.
-    GatewayWorld world;
-    world.settings.metricsPort = 8006;
-    standins::StandInWorker plain(world.io, world.timers, world.store, {"p1", "plain"});
-    standins::StandInWorker model(world.io, world.timers, world.store,
+    // Requests end in every possible way: answered, refused for several reasons, failed by the
+    // worker, abandoned by the client; one is still open. Each is counted once.
+    GatewayFixture fixture;
+    fixture.settings.metricsPort = 8006;
+    standins::StandInWorker plain(fixture.io, fixture.timers, fixture.store, {"p1", "plain"});
+    standins::StandInWorker model(fixture.io, fixture.timers, fixture.store,
                                   {"m1", "model", "z1", 8, std::chrono::milliseconds(5), 1000});
-    world.store.put("config", "main", operatorsConfiguration());
+    fixture.store.put("config", "main", operatorConfiguration());
     plain.announce("ready");
     model.announce("ready");
-    world.start();
-    REQUIRE(world.awaitServing(2));
-    world.call(request("GET", "/safe/a", "id1"));
-    world.call(request("GET", "/nowhere/a", "id2"));
-    world.call(request("GET", "/safe/a", "id3", "", "", "wrong"));
+    fixture.start();
+    REQUIRE(fixture.awaitServing(2));
+    fixture.call(request("GET", "/safe/a", "id1"));
+    fixture.call(request("GET", "/nowhere/a", "id2"));
+    fixture.call(request("GET", "/safe/a", "id3", "", "", "wrong"));
     plain.setFull(true);
-    world.call(request("POST", "/unsafe/a", "id4", "b"));
-    const auto leaving = world.connect();
+    fixture.call(request("POST", "/unsafe/a", "id4", "b"));
+    const auto leaving = fixture.connect();
     leaving->send(request("POST", "/stream/a", "id5", "b", StreamHeaders));
-    REQUIRE(world.runUntil([&] { return leaving->status() == 200; }));
+    REQUIRE(fixture.runUntil([&] { return leaving->status() == 200; }));
     leaving->close();
-    const auto open = world.connect();
+    const auto open = fixture.connect();
     open->send(request("POST", "/stream/a", "id6", "b", StreamHeaders));
-    REQUIRE(world.runUntil([&] { return open->status() == 200; }));
-    world.runFor(std::chrono::milliseconds(50));
+    REQUIRE(fixture.runUntil([&] { return open->status() == 200; }));
+    fixture.runFor(std::chrono::milliseconds(50));
 
-    const std::string page = world.callPage(world.settings.ip + ":8006", "/metrics")->received();
+    const std::string page = fixture.getPage(fixture.settings.ip + ":8006", "/metrics")->received();
     const double accepted = sumOf(page, "monsoongrade_gateway_requests_accepted_total");
     const double ended = sumOf(page, "monsoongrade_gateway_requests_ended_total");
     const double inFlight = sumOf(page, "monsoongrade_gateway_requests_in_flight");
--- a/tests/adapter/crashingrequests_test.cpp
+++ b/tests/adapter/crashingrequests_test.cpp
@@ -1,4 +1,4 @@
-#include "gatewayworld.h"
+#include "gatewayfixture.h"
 
 #include <monsoongrade/gateway/quarantinepersister.h>
 
@@ -16,18 +16,18 @@
 
 const std::string FatalBody = "fatal";
 
-// A gateway and workers, each of which crashes when it begins to run one certain request, and is
-// back at once as a new process.
-class CrashWorld : public GatewayWorld
+// A gateway and workers, each of which crashes when it starts to run a certain request, and
+// restarts at once as a new process.
+class CrashFixture : public GatewayFixture
 {
 public:
-    CrashWorld()
+    CrashFixture()
     {
-        store.put("config", "main", operatorsConfiguration());
+        store.put("config", "main", operatorConfiguration());
         for (std::size_t i = 0; i < Workers; ++i) {
             peers_.push_back(std::make_unique<RawPeer>(
                 io, [this, i](RawConnection &connection, const std::string &text, int) {
-                    answer(i, connection, text);
+                    respond(i, connection, text);
                 }));
             announceWorker(i);
         }
@@ -35,14 +35,14 @@
         REQUIRE(awaitServing(2 * Workers));
     }
 
-    // False: workers only break the connection of the fatal request, and go on.
+    // False: workers only break the connection of the fatal request, and keep running.
     bool isCrashing = true;
     int crashes() const { return crashes_; }
     std::shared_ptr<RawClient> callFatal(const std::string &path, const std::string &key = "k1")
     {
         auto client = call(request("POST", path, "f" + std::to_string(++attempts_), FatalBody,
                                    path.find("/safe/") == 0 ? "" : StreamHeaders, key));
-        // The gateway hears of the workers' new processes.
+        // Until the gateway has the entries of the workers' new processes.
         runFor(std::chrono::milliseconds(30));
         return client;
     }
@@ -55,7 +55,7 @@
         for (const char *service : {"plain", "model"})
             announce(service + std::to_string(index), service, peers_[index]->address(), ++born_);
     }
-    void answer(std::size_t index, RawConnection &connection, const std::string &text)
+    void respond(std::size_t index, RawConnection &connection, const std::string &text)
     {
         const std::string id = headerIn(text, "Attempt-Id");
         const bool isFatal = text.find("\r\n\r\n" + FatalBody) != std::string::npos;
@@ -81,84 +81,83 @@
 
 } // namespace
 
-// Guards against one request that crashes every endpoint of a pool, one client attempt after
-// another.
+// Guards against one request that crashes every endpoint of a pool over several client attempts.
 TEST_CASE("CrashingRequests.RequestThatCrashedThreeEndpointsReachesNoOther")
 {
-    CrashWorld world;
+    CrashFixture fixture;
     for (int attempt = 0; attempt < 8; ++attempt)
-        CHECK(world.callFatal("/stream/a")->status() >= 500);
-    CHECK(world.crashes() == MaxCrashes);
+        CHECK(fixture.callFatal("/stream/a")->status() >= 500);
+    CHECK(fixture.crashes() == MaxCrashes);
 }
 
-// Guards against a gateway that sends such a request to further endpoints by itself.
+// Guards against a gateway that retries such a request on further endpoints by itself.
 TEST_CASE("CrashingRequests.RetriesWithinOneClientAttemptCountAsWell")
 {
-    CrashWorld world;
+    CrashFixture fixture;
     for (int attempt = 0; attempt < 5; ++attempt)
-        world.callFatal("/safe/a");
-    CHECK(world.crashes() == MaxCrashes);
+        fixture.callFatal("/safe/a");
+    CHECK(fixture.crashes() == MaxCrashes);
 }
 
-// Guards against a refusal that tells callers to come back while the request is still refused.
-TEST_CASE("CrashingRequests.RefusalSaysThatNothingRanAndWhenTheRequestIsTakenAgain")
+// Guards against a Retry-After that ends while the request is still refused.
+TEST_CASE("CrashingRequests.RefusalSaysThatNothingRanAndWhenToRetry")
 {
-    CrashWorld world;
+    CrashFixture fixture;
     for (int attempt = 0; attempt < MaxCrashes; ++attempt)
-        CHECK(world.callFatal("/stream/a")->status() == 502);
-    const auto refused = world.callFatal("/stream/a");
+        CHECK(fixture.callFatal("/stream/a")->status() == 502);
+    const auto refused = fixture.callFatal("/stream/a");
     CHECK(refused->status() == 503);
     CHECK(std::atof(headerIn(refused->received(), "Retry-After").c_str()) > 60);
 }
 
-// Guards against refusing requests that only resemble the one that crashes endpoints.
+// Guards against refusing requests that are only similar to the one that crashes endpoints.
 TEST_CASE("CrashingRequests.OtherRequestsAreServed")
 {
-    CrashWorld world;
+    CrashFixture fixture;
     for (int attempt = 0; attempt < MaxCrashes + 1; ++attempt)
-        world.callFatal("/safe/a");
-    CHECK(world.call(request("POST", "/safe/a", "id1", "other body"))->status() == 200);
-    CHECK(world.call(request("GET", "/safe/a", "id2"))->status() == 200);
-    // The same content from another workspace is not known to crash endpoints.
-    const int before = world.crashes();
-    world.callFatal("/safe/a", "k2");
-    CHECK(world.crashes() > before);
+        fixture.callFatal("/safe/a");
+    CHECK(fixture.call(request("POST", "/safe/a", "id1", "other body"))->status() == 200);
+    CHECK(fixture.call(request("GET", "/safe/a", "id2"))->status() == 200);
+    // The same content from another workspace is not quarantined.
+    const int before = fixture.crashes();
+    fixture.callFatal("/safe/a", "k2");
+    CHECK(fixture.crashes() > before);
 }
 
 // Guards against a quarantine for a network fault that broke one request several times.
 TEST_CASE("CrashingRequests.BrokenConnectionsToLiveEndpointsQuarantineNothing")
 {
-    CrashWorld world;
-    world.isCrashing = false;
-    while (world.crashes() < MaxCrashes)
-        world.callFatal("/safe/a");
-    // No endpoint is avoided for having failed more often than others.
+    CrashFixture fixture;
+    fixture.isCrashing = false;
+    while (fixture.crashes() < MaxCrashes)
+        fixture.callFatal("/safe/a");
+    // No endpoint must be avoided below for having failed more often than others.
     for (int fatal = 0; fatal < 3; ++fatal)
-        world.callFatal("/safe/x" + std::to_string(fatal));
+        fixture.callFatal("/safe/x" + std::to_string(fatal));
     std::vector<std::shared_ptr<RawClient>> others;
     for (int other = 0; other < 60; ++other) {
-        others.push_back(world.connect());
+        others.push_back(fixture.connect());
         others.back()->send(request("GET", "/safe/b", "o" + std::to_string(other)));
     }
-    REQUIRE(world.runUntil([&] {
+    REQUIRE(fixture.runUntil([&] {
         return std::all_of(others.begin(), others.end(),
                            [](const auto &client) { return client->status() == 200; });
     }));
-    const int before = world.crashes();
-    world.callFatal("/safe/a");
-    CHECK(world.crashes() > before);
+    const int before = fixture.crashes();
+    fixture.callFatal("/safe/a");
+    CHECK(fixture.crashes() > before);
 }
 
 namespace {
 
-// What one host knows of crashes, with the store that keeps it; without a gateway.
-struct KeepingHost
+// The crash state of one host and its persistence in the store, without a gateway.
+struct QuarantineHost
 {
-    explicit KeepingHost(GatewayWorld &world)
-        : timers(world.timers)
-        , client(world.io, world.timers, metrics)
-        , objects(client, world.store.address())
-        , keeper(world.timers, crashes, objects)
+    explicit QuarantineHost(GatewayFixture &fixture)
+        : timers(fixture.timers)
+        , client(fixture.io, fixture.timers, metrics)
+        , objects(client, fixture.store.address())
+        , persister(fixture.timers, crashes, objects)
     {
     }
 
@@ -177,41 +176,41 @@
     routing::CrashTracker crashes;
     StoreClient client;
     QuarantineObjectStore objects;
-    gateway::QuarantinePersister keeper;
+    gateway::QuarantinePersister persister;
 };
 
 } // namespace
 
-// Guards against a quarantine that is forgotten when all hosts are killed at once.
+// Guards against a quarantine that is lost when all hosts are killed at once.
 TEST_CASE("CrashingRequests.QuarantineSurvivesTheLossOfAllHosts")
 {
-    GatewayWorld world;
-    KeepingHost lost(world);
-    lost.keeper.start();
+    GatewayFixture fixture;
+    QuarantineHost lost(fixture);
+    lost.persister.start();
     for (int endpoint = 0; endpoint < MaxCrashes; ++endpoint)
         lost.crash(endpoint);
-    world.store.setBehavior(standins::StoreBehavior::Refusing);
-    world.runFor(std::chrono::milliseconds(1500));
-    world.store.setBehavior(standins::StoreBehavior::Normal);
-    world.runFor(std::chrono::milliseconds(1500));
-    KeepingHost started(world);
-    started.keeper.start();
-    CHECK(world.runUntil([&] { return started.isQuarantined(); }));
+    fixture.store.setBehavior(standins::StoreBehavior::Refusing);
+    fixture.runFor(std::chrono::milliseconds(1500));
+    fixture.store.setBehavior(standins::StoreBehavior::Normal);
+    fixture.runFor(std::chrono::milliseconds(1500));
+    QuarantineHost started(fixture);
+    started.persister.start();
+    CHECK(fixture.runUntil([&] { return started.isQuarantined(); }));
 }
 
-// Guards against refusing a request after a restart that had been cleared before it.
+// Guards against refusing a request after a restart although its quarantine was cleared before.
 TEST_CASE("CrashingRequests.ClearedQuarantineIsRemovedFromTheStore")
 {
-    GatewayWorld world;
-    KeepingHost host(world);
-    host.keeper.start();
+    GatewayFixture fixture;
+    QuarantineHost host(fixture);
+    host.persister.start();
     for (int endpoint = 0; endpoint < MaxCrashes; ++endpoint)
         host.crash(endpoint);
-    world.runFor(std::chrono::milliseconds(1500));
+    fixture.runFor(std::chrono::milliseconds(1500));
     host.crashes.onCompleted(host.request, host.timers.now());
-    world.runFor(std::chrono::milliseconds(1500));
-    KeepingHost started(world);
-    started.keeper.start();
-    world.runFor(std::chrono::milliseconds(300));
+    fixture.runFor(std::chrono::milliseconds(1500));
+    QuarantineHost started(fixture);
+    started.persister.start();
+    fixture.runFor(std::chrono::milliseconds(300));
     CHECK_FALSE(started.isQuarantined());
 }
--- a/tests/adapter/duties_test.cpp
+++ b/tests/adapter/duties_test.cpp
@@ -1,4 +1,4 @@
-#include "gatewayworld.h"
+#include "gatewayfixture.h"
 
 #include "../platform_standin/standinduties.h"
 
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr auto Window = std::chrono::seconds(1);
-constexpr auto Patience = std::chrono::seconds(12);
+constexpr auto ReportTimeout = std::chrono::seconds(12);
 
-// One gateway that holds the duties, against the store and the calls of the platform.
-class DutiesWorld : public GatewayWorld
+// One gateway that runs the duties, against a stand-in for the platform's store and API.
+class DutiesFixture : public GatewayFixture
 {
 public:
-    DutiesWorld()
+    DutiesFixture()
         : duties(io, timers, 0)
     {
         settings.dutiesAddress = "127.0.0.1:" + std::to_string(duties.address().port());
@@ -62,117 +62,117 @@
 
 TEST_CASE("Duties.RequestsThatRanAreReportedByWorkspace")
 {
-    DutiesWorld world;
-    standins::StandInWorker plain(world.io, world.timers, world.store, {"p1", "plain"});
-    standins::StandInWorker model(world.io, world.timers, world.store, {"m1", "model"});
-    world.store.put("config", "main", operatorsConfiguration());
+    DutiesFixture fixture;
+    standins::StandInWorker plain(fixture.io, fixture.timers, fixture.store, {"p1", "plain"});
+    standins::StandInWorker model(fixture.io, fixture.timers, fixture.store, {"m1", "model"});
+    fixture.store.put("config", "main", operatorConfiguration());
     plain.announce("ready");
     model.announce("ready");
-    world.startWithDuties();
-    REQUIRE(world.awaitServing(2));
+    fixture.startWithDuties();
+    REQUIRE(fixture.awaitServing(2));
     for (int i = 0; i < 5; ++i)
-        world.call(request("GET", "/safe/a", "plain" + std::to_string(i)));
+        fixture.call(request("GET", "/safe/a", "plain" + std::to_string(i)));
     for (int i = 0; i < 3; ++i)
-        world.call(
+        fixture.call(
             request("POST", "/stream/a", "stream" + std::to_string(i), "b", StreamHeaders, "k2"));
     // Neither of these ran.
-    world.call(request("GET", "/nowhere/a", "id1"));
+    fixture.call(request("GET", "/nowhere/a", "id1"));
     plain.setFull(true);
-    world.call(request("POST", "/unsafe/a", "id2", "b"));
-    CHECK(world.runUntil([&] { return world.reported("w1") == 5 && world.reported("w2") == 3; },
-                         Patience));
-    CHECK(world.duties.faults().empty());
+    fixture.call(request("POST", "/unsafe/a", "id2", "b"));
+    CHECK(fixture.runUntil(
+        [&] { return fixture.reported("w1") == 5 && fixture.reported("w2") == 3; }, ReportTimeout));
+    CHECK(fixture.duties.faults().empty());
 }
 
-// Guards against a request that is counted once for each endpoint that failed it.
-TEST_CASE("Duties.ARequestSentTwiceCountsOnce")
+// Guards against counting a request once for each endpoint that failed it.
+TEST_CASE("Duties.RequestSentTwiceCountsOnce")
 {
-    DutiesWorld world;
+    DutiesFixture fixture;
     const auto fails = [](standins::RawConnection &connection, const std::string &text, int) {
         connection.write("HTTP/1.1 500 Internal Server Error\r\nAttempt-Id: "
                          + standins::headerIn(text, "Attempt-Id")
                          + "\r\nResponse-Signature: s\r\nContent-Length: 0\r\n\r\n");
     };
-    standins::RawPeer first(world.io, fails);
-    standins::RawPeer second(world.io, fails);
-    world.store.put("config", "main", operatorsConfiguration());
-    world.announce("p1", "plain", first.address());
-    world.announce("p2", "plain", second.address());
-    world.startWithDuties();
-    REQUIRE(world.awaitServing(2));
-    CHECK(world.call(request("GET", "/safe/a", "id1"))->status() == 500);
-    REQUIRE(world.runUntil([&] { return world.reported("w1") > 0; }, Patience));
-    CHECK(world.reported("w1") == 1);
+    standins::RawPeer first(fixture.io, fails);
+    standins::RawPeer second(fixture.io, fails);
+    fixture.store.put("config", "main", operatorConfiguration());
+    fixture.announce("p1", "plain", first.address());
+    fixture.announce("p2", "plain", second.address());
+    fixture.startWithDuties();
+    REQUIRE(fixture.awaitServing(2));
+    CHECK(fixture.call(request("GET", "/safe/a", "id1"))->status() == 500);
+    REQUIRE(fixture.runUntil([&] { return fixture.reported("w1") > 0; }, ReportTimeout));
+    CHECK(fixture.reported("w1") == 1);
 }
 
-// Guards against a report that changes between two tries.
-TEST_CASE("Duties.AReportThatWasTurnedAwayIsSentAgainAsItWas")
+// Guards against a report that changes between two attempts to send it.
+TEST_CASE("Duties.RejectedReportIsRetriedUnchanged")
 {
-    DutiesWorld world;
-    standins::StandInWorker plain(world.io, world.timers, world.store, {"p1", "plain"});
-    world.store.put("config", "main", operatorsConfiguration());
+    DutiesFixture fixture;
+    standins::StandInWorker plain(fixture.io, fixture.timers, fixture.store, {"p1", "plain"});
+    fixture.store.put("config", "main", operatorConfiguration());
     plain.announce("ready");
-    world.startWithDuties();
-    REQUIRE(world.awaitServing(1));
-    world.call(request("GET", "/safe/a", "id1"));
-    world.duties.setStatus(503);
-    world.runFor(std::chrono::seconds(4));
-    CHECK(world.duties.reports().empty());
-    world.duties.setStatus(200);
-    CHECK(world.runUntil([&] { return world.reported("w1") == 1; }, Patience));
-    CHECK(world.duties.faults().empty());
+    fixture.startWithDuties();
+    REQUIRE(fixture.awaitServing(1));
+    fixture.call(request("GET", "/safe/a", "id1"));
+    fixture.duties.setStatus(503);
+    fixture.runFor(std::chrono::seconds(4));
+    CHECK(fixture.duties.reports().empty());
+    fixture.duties.setStatus(200);
+    CHECK(fixture.runUntil([&] { return fixture.reported("w1") == 1; }, ReportTimeout));
+    CHECK(fixture.duties.faults().empty());
 }
 
-// Guards against a holder that keeps a lease it does not need, and duties that rest meanwhile.
-TEST_CASE("Duties.APlannedStopLeavesTheLeaseFree")
+// Guards against a stopping holder that keeps the lease, so that no host runs the duties.
+TEST_CASE("Duties.PlannedStopReleasesTheLease")
 {
-    DutiesWorld world;
-    world.store.put("config", "main", operatorsConfiguration());
-    world.startWithDuties();
+    DutiesFixture fixture;
+    fixture.store.put("config", "main", operatorConfiguration());
+    fixture.startWithDuties();
     const auto holder = [&] {
         std::string found;
         bool isAnswered = false;
-        world.objects->read([&](const duties::LeaseCallResult &answer) {
-            found = answer.stored.record.holder;
+        fixture.objects->read([&](const duties::LeaseCallResult &response) {
+            found = response.stored.record.holder;
             isAnswered = true;
         });
-        world.runUntil([&] { return isAnswered; });
+        fixture.runUntil([&] { return isAnswered; });
         return found;
     };
-    REQUIRE(world.runUntil([&] { return !holder().empty(); }));
-    world.service->stop();
-    CHECK(world.runUntil([&] { return holder().empty(); }));
+    REQUIRE(fixture.runUntil([&] { return !holder().empty(); }));
+    fixture.service->stop();
+    CHECK(fixture.runUntil([&] { return holder().empty(); }));
 }
 
 TEST_CASE("Duties.EndpointsOfAScaledPoolAreOrderedByDomainAndKind")
 {
-    DutiesWorld world;
-    nlohmann::json configuration = operatorsConfiguration();
+    DutiesFixture fixture;
+    nlohmann::json configuration = operatorConfiguration();
     configuration["services"][1]["scaling"] = {{"min", 1},
                                                {"max", 20},
                                                {"boot_s", 4.0},
                                                {"spot_price", 0.2},
                                                {"zone_prices", {{"z1", 1.0}, {"z2", 1.1}}}};
-    world.store.put("config", "main", configuration);
+    fixture.store.put("config", "main", configuration);
     for (int i = 0; i < 8; ++i)
-        world.announce("m" + std::to_string(i), "model", "127.0.0.1:" + std::to_string(9000 + i));
-    world.startWithDuties();
-    CHECK(world.runUntil([&] { return world.duties.orders().size() >= 2; }, Patience));
-    for (const auto &order : world.duties.orders()) {
+        fixture.announce("m" + std::to_string(i), "model", "127.0.0.1:" + std::to_string(9000 + i));
+    fixture.startWithDuties();
+    CHECK(fixture.runUntil([&] { return fixture.duties.orders().size() >= 2; }, ReportTimeout));
+    for (const auto &order : fixture.duties.orders()) {
         CHECK(order.service == "model");
         CHECK(order.spot);
         CHECK(order.desired >= 4);
     }
-    CHECK(world.duties.faults().empty());
+    CHECK(fixture.duties.faults().empty());
 }
 
-// Guards against orders for pools whose number of endpoints is not ours to change.
-TEST_CASE("Duties.PoolsWithoutScalingAreLeftAlone")
+// Guards against orders for pools whose number of endpoints this product must not change.
+TEST_CASE("Duties.PoolsWithoutScalingGetNoOrders")
 {
-    DutiesWorld world;
-    world.store.put("config", "main", operatorsConfiguration());
-    world.announce("m1", "model", "127.0.0.1:9000");
-    world.startWithDuties();
-    world.runFor(std::chrono::seconds(3));
-    CHECK(world.duties.orders().empty());
+    DutiesFixture fixture;
+    fixture.store.put("config", "main", operatorConfiguration());
+    fixture.announce("m1", "model", "127.0.0.1:9000");
+    fixture.startWithDuties();
+    fixture.runFor(std::chrono::seconds(3));
+    CHECK(fixture.duties.orders().empty());
 }
--- a/tests/adapter/endpointlimits_test.cpp
+++ b/tests/adapter/endpointlimits_test.cpp
@@ -1,4 +1,4 @@
-#include "gatewayworld.h"
+#include "gatewayfixture.h"
 
 #include <doctest/doctest.h>
 
@@ -11,20 +11,20 @@
 
 namespace {
 
-// What a worker that named a limit may get in a span of 4 s: one and a half times the limit, and 5.
+// Requests that a limited worker may get within 4 s: one and a half times the limit, plus 5.
 constexpr double SpanSeconds = 4;
 int maxArrivals(double perSecond)
 {
     return int(1.5 * perSecond * SpanSeconds + 5);
 }
 
-// A gateway with two workers of one service, of which one names a limit.
-class LimitWorld : public GatewayWorld
+// A gateway with two workers of one service, one of which sends a limit.
+class LimitFixture : public GatewayFixture
 {
 public:
-    explicit LimitWorld(const std::string &service)
+    explicit LimitFixture(const std::string &service)
     {
-        store.put("config", "main", operatorsConfiguration());
+        store.put("config", "main", operatorConfiguration());
         for (int i = 0; i < 2; ++i) {
             peers_.push_back(std::make_unique<RawPeer>(
                 io, [this, i](RawConnection &connection, const std::string &text, int) {
@@ -37,7 +37,7 @@
         REQUIRE(awaitServing(2));
     }
 
-    // The worker that has had most requests is the one to name limits from now on.
+    // The worker that got the most requests sends limits from now on.
     void limitBusiest() { limited_ = peers_[0]->requests() > peers_[1]->requests() ? 0 : 1; }
     int limitedRequests() const { return peers_[std::size_t(limited_)]->requests(); }
 
@@ -71,52 +71,52 @@
 
 } // namespace
 
-// Guards against overloading an endpoint that has said how much it can take.
+// Guards against overloading an endpoint that has sent a limit.
 TEST_CASE("EndpointLimits.PlainEndpointGetsNoMoreThanItsLimit")
 {
-    LimitWorld world("plain");
-    world.callFor(milliseconds(200), "/unsafe/a");
-    world.limitBusiest();
-    world.limitHeader = "Server-Limit: 1\r\n";
-    const int before = world.limitedRequests();
-    CHECK(allServed(world.callFor(milliseconds(4000), "/unsafe/a")));
-    CHECK(world.limitedRequests() - before >= 2);
-    CHECK(world.limitedRequests() - before <= maxArrivals(1));
+    LimitFixture fixture("plain");
+    fixture.callFor(milliseconds(200), "/unsafe/a");
+    fixture.limitBusiest();
+    fixture.limitHeader = "Server-Limit: 1\r\n";
+    const int before = fixture.limitedRequests();
+    CHECK(allServed(fixture.callFor(milliseconds(4000), "/unsafe/a")));
+    CHECK(fixture.limitedRequests() - before >= 2);
+    CHECK(fixture.limitedRequests() - before <= maxArrivals(1));
 }
 
-// Guards against overloading a model engine that has said how much it can take.
+// Guards against overloading a model engine that has sent a limit.
 TEST_CASE("EndpointLimits.ModelEndpointGetsNoMoreThanItsLimit")
 {
-    LimitWorld world("model");
-    world.callFor(milliseconds(200), "/stream/a");
-    world.limitBusiest();
-    world.limitHeader = "Server-Limit: 1.6\r\n";
-    const int before = world.limitedRequests();
-    CHECK(allServed(world.callFor(milliseconds(4000), "/stream/a")));
-    CHECK(world.limitedRequests() - before >= 2);
-    CHECK(world.limitedRequests() - before <= maxArrivals(1.6));
+    LimitFixture fixture("model");
+    fixture.callFor(milliseconds(200), "/stream/a");
+    fixture.limitBusiest();
+    fixture.limitHeader = "Server-Limit: 1.6\r\n";
+    const int before = fixture.limitedRequests();
+    CHECK(allServed(fixture.callFor(milliseconds(4000), "/stream/a")));
+    CHECK(fixture.limitedRequests() - before >= 2);
+    CHECK(fixture.limitedRequests() - before <= maxArrivals(1.6));
 }
 
-// Guards against an endpoint that stays limited after it has said that it is well again.
-TEST_CASE("EndpointLimits.LimitEndsWithTheFirstAnswerThatNamesNone")
+// Guards against an endpoint that stays limited after it has withdrawn its limit.
+TEST_CASE("EndpointLimits.LimitEndsWithTheFirstResponseWithoutOne")
 {
-    LimitWorld world("plain");
-    world.limitHeader = "Server-Limit: 2\r\n";
-    world.callFor(milliseconds(1000), "/unsafe/a");
-    world.limitHeader.clear();
-    world.callFor(milliseconds(1000), "/unsafe/a");
-    const int before = world.limitedRequests();
-    const auto statuses = world.callFor(milliseconds(1000), "/unsafe/a");
-    CHECK(world.limitedRequests() - before > int(statuses.size()) / 4);
+    LimitFixture fixture("plain");
+    fixture.limitHeader = "Server-Limit: 2\r\n";
+    fixture.callFor(milliseconds(1000), "/unsafe/a");
+    fixture.limitHeader.clear();
+    fixture.callFor(milliseconds(1000), "/unsafe/a");
+    const int before = fixture.limitedRequests();
+    const auto statuses = fixture.callFor(milliseconds(1000), "/unsafe/a");
+    CHECK(fixture.limitedRequests() - before > int(statuses.size()) / 4);
 }
 
-// Guards against a limit that is not a number taking an endpoint out of use.
+// Guards against a malformed limit that takes an endpoint out of use.
 TEST_CASE("EndpointLimits.UnreadableLimitIsIgnored")
 {
     for (const char *text : {"none", "", "-3", "nan", "1e400"}) {
-        LimitWorld world("plain");
-        world.limitHeader = std::string("Server-Limit: ") + text + "\r\n";
-        const auto statuses = world.callFor(milliseconds(500), "/unsafe/a");
-        CHECK_MESSAGE(world.limitedRequests() > int(statuses.size()) / 4, text);
+        LimitFixture fixture("plain");
+        fixture.limitHeader = std::string("Server-Limit: ") + text + "\r\n";
+        const auto statuses = fixture.callFor(milliseconds(500), "/unsafe/a");
+        CHECK_MESSAGE(fixture.limitedRequests() > int(statuses.size()) / 4, text);
     }
 }
--- a/tests/adapter/gatewayworld.h
+++ b/tests/adapter/gatewayfixture.h
@@ -1,5 +1,5 @@
-#ifndef MONSOONGRADE_TESTS_ADAPTER_GATEWAYWORLD_H
-#define MONSOONGRADE_TESTS_ADAPTER_GATEWAYWORLD_H
+#ifndef MONSOONGRADE_TESTS_ADAPTER_GATEWAYFIXTURE_H
+#define MONSOONGRADE_TESTS_ADAPTER_GATEWAYFIXTURE_H
 
 #include "rawclient.h"
 
@@ -22,7 +22,7 @@
 
 namespace monsoongrade::platform {
 
-// A clock that can jump ahead, as the boot clock does over a suspension of the host.
+// A clock that can jump ahead, as the boot clock does when the host was suspended.
 class JumpingClock : public units::Clock
 {
 public:
@@ -34,16 +34,16 @@
     units::Duration ahead_{};
 };
 
-// One gateway with the store it reads, in one thread and on loopback addresses of its own.
-class GatewayWorld
+// One gateway and the store it reads, in one thread, on loopback addresses of their own.
+class GatewayFixture
 {
 public:
-    GatewayWorld()
+    GatewayFixture()
         : timers(io, clock)
         , store(io, timers, 0)
     {
         settings.host = units::HostName("host-1");
-        // Test programs run side by side: each takes addresses by its process id.
+        // Test programs run in parallel: each derives its addresses from its process id.
         const int pid = int(getpid());
         settings.ip = "127." + std::to_string(64 + (pid >> 14) % 64) + "."
             + std::to_string((pid >> 6) % 256) + "." + std::to_string(1 + (pid % 64) * 3);
@@ -56,15 +56,16 @@
         settings.stopWithin = std::chrono::seconds(2);
     }
 
-    // Starts the gateway; the store's content is read right away.
+    // Starts the gateway, which reads the store at once.
     void start()
     {
         gateway = std::make_unique<gateway::Gateway>(
-            io, timers, settings, dialect,
+            io, timers, settings, codec,
             gateway::Gateway::PageHandlers{serveReadiness, serveDirectory});
         gateway->start();
-        feed = std::make_unique<PlatformWatcher>(io, timers, *gateway, store.address(), RelayPort);
-        feed->start();
+        watcher
+            = std::make_unique<PlatformWatcher>(io, timers, *gateway, store.address(), RelayPort);
+        watcher->start();
     }
 
     template <typename Predicate>
@@ -83,7 +84,7 @@
     {
         runUntil([] { return false; }, time);
     }
-    // True once the gateway has the configuration and this many endpoints.
+    // Runs until the gateway has the configuration and this many endpoints; false on a timeout.
     bool awaitServing(std::size_t endpoints)
     {
         return runUntil(
@@ -94,23 +95,23 @@
     {
         return RawClient::connect(io, *httpio::parseAddress(settings.callersAddress));
     }
-    // Sends a request on a new connection and waits for its end.
+    // Sends a request on a new connection and waits for the end of the response.
     std::shared_ptr<RawClient> call(const std::string &request)
     {
         auto client = connect();
         client->send(request);
-        runUntil([&] { return client->isWhole() || client->isClosed(); });
+        runUntil([&] { return client->isComplete() || client->isClosed(); });
         return client;
     }
-    std::shared_ptr<RawClient> callPage(const std::string &address, const std::string &target)
+    std::shared_ptr<RawClient> getPage(const std::string &address, const std::string &target)
     {
         auto client = RawClient::connect(io, *httpio::parseAddress(address));
         client->send("GET " + target + " HTTP/1.1\r\nHost: x\r\n\r\n");
-        runUntil([&] { return client->isWhole() || client->isClosed(); });
+        runUntil([&] { return client->isComplete() || client->isClosed(); });
         return client;
     }
 
-    // An entry of a worker that is played by a RawPeer.
+    // Writes the entry of a worker that a RawPeer stands in for.
     void announce(const std::string &id, const std::string &service, const std::string &address,
                   std::int64_t born = 1, const std::string &state = "ready")
     {
@@ -130,9 +131,9 @@
     httpio::Timers timers;
     standins::StandInStore store;
     gateway::GatewaySettings settings;
-    PlatformHeaderCodec dialect;
+    PlatformHeaderCodec codec;
     std::unique_ptr<gateway::Gateway> gateway;
-    std::unique_ptr<PlatformWatcher> feed;
+    std::unique_ptr<PlatformWatcher> watcher;
 };
 
 // A route of the operator's configuration.
@@ -148,7 +149,7 @@
 
 // Routes /safe/, /unsafe/, /stream/ and /resume/ to the services "plain" and "model"; key "k1" of
 // workspace "w1".
-inline nlohmann::json operatorsConfiguration(int version = 1)
+inline nlohmann::json operatorConfiguration(int version = 1)
 {
     nlohmann::json publicRoute = route("/public/", "safe", "plain");
     publicRoute["public"] = true;
@@ -169,7 +170,7 @@
              {{{"name", "w1"}, {"api_keys", {"k1"}}}, {{"name", "w2"}, {"api_keys", {"k2"}}}}}};
 }
 
-// The text of a request with the usual headers.
+// A request with the usual headers.
 inline std::string request(const std::string &method, const std::string &target,
                            const std::string &id, const std::string &body = {},
                            const std::string &extraHeaders = {}, const std::string &key = "k1")
@@ -192,4 +193,4 @@
 
 } // namespace monsoongrade::platform
 
-#endif // MONSOONGRADE_TESTS_ADAPTER_GATEWAYWORLD_H
+#endif // MONSOONGRADE_TESTS_ADAPTER_GATEWAYFIXTURE_H
--- a/tests/adapter/rawclient.h
+++ b/tests/adapter/rawclient.h
@@ -13,7 +13,7 @@
 
 namespace monsoongrade::platform {
 
-// A caller that sends bytes as given and keeps all that comes back.
+// A client that sends bytes as given and records everything it receives.
 class RawClient : public std::enable_shared_from_this<RawClient>
 {
 public:
@@ -41,7 +41,7 @@
         asio::error_code ignored;
         socket_.close(ignored);
     }
-    // Forgets what came so far, before the next request on the connection.
+    // Discards what was received, before the next request on the connection.
     void clear() { received_.clear(); }
 
     const std::string &received() const { return received_; }
@@ -56,8 +56,8 @@
         const std::size_t end = received_.find("\r\n\r\n");
         return end == std::string::npos ? std::string() : received_.substr(end + 4);
     }
-    // A response with a length has arrived whole, or a chunked one has its last chunk.
-    bool isWhole() const
+    // True if a response with a length is complete, or a chunked one has its last chunk.
+    bool isComplete() const
     {
         const std::size_t end = received_.find("\r\n\r\n");
         if (end == std::string::npos)
--- a/tests/adapter/storecalls_test.cpp
+++ b/tests/adapter/storecalls_test.cpp
@@ -9,19 +9,19 @@
 using std::chrono::seconds;
 
 // The store charges for each call, and the fleet may be of any size. These tests count the calls of
-// fifty hosts; the bounds are those of docs/design/store-access.md and do not depend on fifty.
+// fifty hosts; the bounds are those of docs/design/store-access.md, whatever the number of hosts.
 namespace {
 
 constexpr std::size_t Hosts = 50;
-// Six readers, each a call a second for the configuration and one in four seconds for endpoints,
-// with half as much again for hosts that read for a moment though they need not.
-constexpr int CalmCallsPerSecond = 12;
-// Up to 24 hosts try a store that is away, each with about 1.25 calls a second.
+// Six readers, each with one call a second for the configuration and one every four seconds for
+// endpoints, plus half as many for hosts that read for a short time without need.
+constexpr int IdleCallsPerSecond = 12;
+// Up to 24 hosts try to reach the store during an outage, each with about 1.25 calls a second.
 constexpr int OutageCallsPerSecond = 45;
-// Each change reaches each reader by a call of its own, and at most four a second and kind.
+// Each change reaches each reader with a call of its own; at most four a second for each kind.
 constexpr int CallsPerChange = 12;
 
-// True if no host stops serving in that time.
+// Runs for this time; true if all hosts serve throughout.
 bool servesThroughout(StoreFleet &fleet, milliseconds time)
 {
     bool hasServed = true;
@@ -41,27 +41,27 @@
 
 } // namespace
 
-TEST_CASE("StoreCalls.FleetThatStartsReadsByAFewOfItsHosts")
+TEST_CASE("StoreCalls.StartingFleetReadsThroughAFewHosts")
 {
-    // Fifty hosts start at once and know only the three hosts that their settings name. All serve
-    // within a second; the store sees lists that may be old, and calls of a few.
+    // Fifty hosts start at once and know only the three seed hosts of their settings. All serve
+    // within a second; the store gets calls for stale lists, and other calls from a few hosts.
     StoreFleet fleet(Hosts);
     fleet.putEndpoint("p1");
     const int calls = fleet.callsWhile([&] { REQUIRE(fleet.startAll(milliseconds(1500))); });
     CHECK(calls <= 20);
     CHECK(fleet.store.staleLists() <= int(2 * Hosts));
-    CHECK(fleet.runUntil([&] { return fleet.allKnow("p1"); }, milliseconds(300)));
+    CHECK(fleet.runUntil([&] { return fleet.allUse("p1"); }, milliseconds(300)));
 }
 
-TEST_CASE("StoreCalls.CalmFleetCallsAsOftenAsSixHosts")
+TEST_CASE("StoreCalls.IdleFleetCallsAsOftenAsSixHosts")
 {
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5)); // readers are settled
-    CHECK(callsIn(fleet, seconds(4)) <= 4 * CalmCallsPerSecond);
+    CHECK(callsIn(fleet, seconds(4)) <= 4 * IdleCallsPerSecond);
 }
 
-TEST_CASE("StoreCalls.ChangesReachAllHostsAtOnceByTheCallsOfTheReaders")
+TEST_CASE("StoreCalls.ChangesReachAllHostsAtOnceThroughTheReadersCalls")
 {
     StoreFleet fleet(Hosts);
     fleet.putEndpoint("p1");
@@ -71,14 +71,14 @@
         fleet.putConfiguration(2);
         CHECK(fleet.runUntil([&] { return fleet.allHaveVersion(2); }, milliseconds(300)));
         fleet.putEndpoint("p1", "draining");
-        CHECK(fleet.runUntil([&] { return fleet.noneKnows("p1"); }, milliseconds(300)));
+        CHECK(fleet.runUntil([&] { return fleet.noneUses("p1"); }, milliseconds(300)));
     });
-    CHECK(calls <= 2 * CallsPerChange + CalmCallsPerSecond);
+    CHECK(calls <= 2 * CallsPerChange + IdleCallsPerSecond);
 }
 
-TEST_CASE("StoreCalls.ManyChangesAreReadTogether")
+TEST_CASE("StoreCalls.ManyChangesAreReadInBatches")
 {
-    // A hundred endpoints register within two seconds. A call for each at each reader would be 600.
+    // A hundred endpoints register within two seconds. One call for each by each reader makes 600.
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
@@ -87,19 +87,21 @@
             fleet.putEndpoint("p" + std::to_string(i));
             fleet.runFor(milliseconds(20));
         }
-        CHECK(fleet.runUntil([&] { return fleet.allKnow("p99"); }, milliseconds(600)));
+        CHECK(fleet.runUntil([&] { return fleet.allUse("p99"); }, milliseconds(600)));
     });
     CHECK(calls <= 110);
 }
 
 TEST_CASE("StoreCalls.OutageCostsAsManyCallsForAnyFleetAndIsOverWithinASecond")
 {
-    // The store refuses everybody for six seconds. A few hosts try it; the others wait at these.
-    for (const StoreBehavior mood : {StoreBehavior::Refusing, StoreBehavior::DroppingResponses}) {
+    // The store refuses all hosts for six seconds. A few keep calling it, and the others wait for
+    // these.
+    for (const StoreBehavior behavior :
+         {StoreBehavior::Refusing, StoreBehavior::DroppingResponses}) {
         StoreFleet fleet(Hosts);
         REQUIRE(fleet.startAll());
         fleet.runFor(seconds(5));
-        fleet.store.setBehavior(mood);
+        fleet.store.setBehavior(behavior);
         CHECK(callsIn(fleet, seconds(6)) <= 6 * OutageCallsPerSecond);
         CHECK_FALSE(fleet.allServe()); // keys are not accepted without a proof
         fleet.store.setBehavior(StoreBehavior::Normal);
@@ -107,7 +109,7 @@
     }
 }
 
-TEST_CASE("StoreCalls.SilentStoreCostsNoMoreThanOneThatRefuses")
+TEST_CASE("StoreCalls.UnresponsiveStoreCostsNoMoreCallsThanARefusingOne")
 {
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
@@ -115,14 +117,14 @@
     fleet.store.setBehavior(StoreBehavior::Silent);
     CHECK(callsIn(fleet, seconds(6)) <= 6 * OutageCallsPerSecond);
     fleet.store.setBehavior(StoreBehavior::Normal);
-    // A call that waits in silence takes 1.2 s to be given up.
+    // A call without a response times out after 1.2 s.
     CHECK(fleet.runUntil([&] { return fleet.allServe(); }, milliseconds(2500)));
 }
 
-TEST_CASE("StoreCalls.HostsThatTheStoreRefusesReadFromOthersAndGoOnServing")
+TEST_CASE("StoreCalls.HostsRefusedByTheStoreReadFromOthersAndKeepServing")
 {
-    // The store refuses a third of the hosts, among them some readers, and serves the rest. A key
-    // that is revoked meanwhile must stop working on the refused hosts as well.
+    // The store refuses a third of the hosts, including some readers, and serves the rest. A key
+    // revoked in the meantime must stop working on the refused hosts as well.
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
@@ -138,8 +140,8 @@
 
 TEST_CASE("StoreCalls.RefusedReadersAllOfThemGiveTheirPlaceToOthers")
 {
-    // Just the readers are refused. Nobody else has the store then, so it looks like an outage,
-    // until further hosts try.
+    // Only the readers are refused. No other host reads the store then, so this looks like an
+    // outage until further hosts try.
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
@@ -149,7 +151,7 @@
     CHECK(calls <= 5 * OutageCallsPerSecond);
 }
 
-TEST_CASE("StoreCalls.HistoryThatIsGoneIsReadAgainByTheReadersOnly")
+TEST_CASE("StoreCalls.OnlyReadersListAgainAfterTheHistoryIsGone")
 {
     StoreFleet fleet(Hosts);
     fleet.putEndpoint("p1");
@@ -158,14 +160,14 @@
     const int lists = fleet.store.lists();
     fleet.store.compact();
     fleet.putEndpoint("p2");
-    CHECK(fleet.runUntil([&] { return fleet.allKnow("p2"); }, milliseconds(1000)));
+    CHECK(fleet.runUntil([&] { return fleet.allUse("p2"); }, milliseconds(1000)));
     CHECK(fleet.store.lists() - lists <= 2 * int(routing::StoreReaderCount) + 4);
 }
 
-TEST_CASE("StoreCalls.ReadersThatAreKilledAllAtOnceAreReplacedWithinASecond")
+TEST_CASE("StoreCalls.AllReadersKilledAtOnceAreReplacedWithinASecond")
 {
-    // All that read the store die. Their followers see the connections end, agree on the next hosts
-    // and ask these, which then read the store. A change gets through all the same.
+    // Followers see the readers' connections close, agree on the next hosts and call these, which
+    // then read the store. A change must still reach all hosts.
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
@@ -183,7 +185,7 @@
 
 TEST_CASE("StoreCalls.FrozenReadersAreReplacedBeforeAnyHostStopsServing")
 {
-    // Frozen hosts keep their connections and say nothing, so only a timeout shows it.
+    // Frozen hosts keep their connections open without responding, so only a timeout detects them.
     StoreFleet fleet(Hosts);
     REQUIRE(fleet.startAll());
     fleet.runFor(seconds(5));
@@ -205,7 +207,7 @@
     CHECK(fleet.allServe());
 }
 
-TEST_CASE("StoreCalls.HostThatStartsInARunningFleetMakesNoFullCall")
+TEST_CASE("StoreCalls.HostStartingInARunningFleetAddsNoFreshReads")
 {
     StoreFleet fleet(Hosts);
     fleet.putEndpoint("p1");
@@ -215,15 +217,15 @@
     fleet.runFor(milliseconds(300));
     const int calls = fleet.callsWhile([&] {
         fleet.start(Hosts - 1);
-        CHECK(fleet.runUntil([&] { return fleet.isServing(Hosts - 1) && fleet.allKnow("p1"); },
+        CHECK(fleet.runUntil([&] { return fleet.isServing(Hosts - 1) && fleet.allUse("p1"); },
                              milliseconds(300)));
     });
-    CHECK(calls <= CalmCallsPerSecond);
+    CHECK(calls <= IdleCallsPerSecond);
 }
 
-// Guards against hosts of a large fleet that don't serve, or make the store list everything for
-// each of them, when all start at once or come back after all were killed.
-TEST_CASE("StoreCalls.LargeFleetServesSoonAfterAllWereKilled")
+// Guards against hosts of a large fleet that don't serve, or that all read full lists from the
+// store, when all start at once or restart after all were killed.
+TEST_CASE("StoreCalls.LargeFleetServesSoonAfterAllHostsWereKilled")
 {
     StoreFleet fleet(Hosts);
     fleet.putEndpoints(1400);
--- a/tests/adapter/storefleet.cpp
+++ b/tests/adapter/storefleet.cpp
@@ -18,8 +18,8 @@
 constexpr std::uint16_t RelayPort = 8007;
 constexpr std::size_t Seeds = 3;
 constexpr std::size_t FailureDomains = 5;
-// One host in eight has more processor, as where a few larger hosts stand among small ones.
-constexpr std::size_t HostsPerLargeOne = 8;
+// One host in eight has a larger CPU share, as in a fleet with a few larger hosts.
+constexpr std::size_t HostsPerLargeHost = 8;
 
 nlohmann::json configuration(int version)
 {
@@ -34,16 +34,16 @@
 struct StoreFleet::Host
 {
     Host(const units::Clock &clock, const gateway::GatewaySettings &settings,
-         const PlatformHeaderCodec &dialect, const asio::ip::tcp::endpoint &store)
+         const PlatformHeaderCodec &codec, const asio::ip::tcp::endpoint &store)
         : timers(io, clock)
-        , gateway(io, timers, settings, dialect, {serveReadiness, serveDirectory})
+        , gateway(io, timers, settings, codec, {serveReadiness, serveDirectory})
     {
         gateway.start();
-        feed = std::make_unique<PlatformWatcher>(io, timers, gateway, store, RelayPort);
-        feed->start();
+        watcher = std::make_unique<PlatformWatcher>(io, timers, gateway, store, RelayPort);
+        watcher->start();
     }
 
-    bool knows(const std::string &id)
+    bool uses(const std::string &id)
     {
         const auto available = gateway.state().registry.available(units::PoolName("plain"));
         return std::any_of(available.begin(), available.end(), [&](const auto &endpoint) {
@@ -54,7 +54,7 @@
     asio::io_context io;
     httpio::Timers timers;
     gateway::Gateway gateway;
-    std::unique_ptr<PlatformWatcher> feed;
+    std::unique_ptr<PlatformWatcher> watcher;
     bool isFrozen = false;
 };
 
@@ -70,7 +70,7 @@
 
 StoreFleet::~StoreFleet() = default;
 
-// Test programs run side by side: each takes addresses by its process id.
+// Test programs run in parallel: each derives its addresses from its process id.
 std::string StoreFleet::ipOf(std::size_t host) const
 {
     const int pid = int(getpid());
@@ -93,7 +93,7 @@
     settings.gossipPort = GossipPort;
     settings.placementPort = PlacementPort;
     settings.relayPort = RelayPort;
-    settings.cpuShare = host % HostsPerLargeOne == 0 ? 0.5 : 0.12;
+    settings.cpuShare = host % HostsPerLargeHost == 0 ? 0.5 : 0.12;
     for (std::size_t seed = 0; seed < Seeds; ++seed)
         settings.seeds.push_back(ipOf(seed) + ":" + std::to_string(CallersPort));
     return settings;
@@ -108,8 +108,7 @@
 
 void StoreFleet::start(std::size_t host)
 {
-    hosts_[host]
-        = std::make_unique<Host>(clock_, settingsOf(host), dialect_, storeAddresses_[host]);
+    hosts_[host] = std::make_unique<Host>(clock_, settingsOf(host), codec_, storeAddresses_[host]);
 }
 
 void StoreFleet::kill(std::size_t host)
@@ -128,9 +127,9 @@
     hosts_[host]->isFrozen = isFrozen;
 }
 
-void StoreFleet::setBehavior(std::size_t host, standins::StoreBehavior mood)
+void StoreFleet::setBehavior(std::size_t host, standins::StoreBehavior behavior)
 {
-    store.setBehavior(mood, storeAddresses_[host]);
+    store.setBehavior(behavior, storeAddresses_[host]);
 }
 
 std::vector<std::size_t> StoreFleet::readers() const
@@ -147,7 +146,7 @@
     return readers;
 }
 
-bool StoreFleet::holdsForAll(const std::function<bool(Host &)> &condition) const
+bool StoreFleet::isTrueForAll(const std::function<bool(Host &)> &condition) const
 {
     return std::all_of(hosts_.begin(), hosts_.end(), [&](const auto &host) {
         return host == nullptr || host->isFrozen || condition(*host);
@@ -161,23 +160,23 @@
 
 bool StoreFleet::allServe() const
 {
-    return holdsForAll([](Host &host) { return host.gateway.isServing(); });
+    return isTrueForAll([](Host &host) { return host.gateway.isServing(); });
 }
 
-bool StoreFleet::allKnow(const std::string &endpoint) const
+bool StoreFleet::allUse(const std::string &endpoint) const
 {
-    return holdsForAll([&](Host &host) { return host.knows(endpoint); });
+    return isTrueForAll([&](Host &host) { return host.uses(endpoint); });
 }
 
-bool StoreFleet::noneKnows(const std::string &endpoint) const
+bool StoreFleet::noneUses(const std::string &endpoint) const
 {
-    return holdsForAll([&](Host &host) { return !host.knows(endpoint); });
+    return isTrueForAll([&](Host &host) { return !host.uses(endpoint); });
 }
 
 bool StoreFleet::allUseTheirCells(std::uint32_t cells) const
 {
     const units::PoolName pool("plain");
-    return holdsForAll([&](Host &host) {
+    return isTrueForAll([&](Host &host) {
         const routing::FleetDivision &division = host.gateway.division();
         const std::uint32_t cell = division.cellOf(host.gateway.settings().ip);
         const auto inCell
@@ -191,7 +190,7 @@
 
 bool StoreFleet::allHaveVersion(std::int64_t version) const
 {
-    return holdsForAll([&](Host &host) {
+    return isTrueForAll([&](Host &host) {
         const auto &table = host.gateway.state().table;
         return table != nullptr && table->configuration().version == version;
     });
--- a/tests/adapter/storerelay_test.cpp
+++ b/tests/adapter/storerelay_test.cpp
@@ -1,4 +1,4 @@
-#include "gatewayworld.h"
+#include "gatewayfixture.h"
 
 #include <platform/storerelay.h>
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-struct Recorder : MirrorListener
+struct RecordingListener : MirrorListener
 {
-    void onWholeList(const std::vector<MirroredObject> &objects, units::TimePoint) override
+    void onFullList(const std::vector<MirroredObject> &objects, units::TimePoint) override
     {
         ++lists;
         names.clear();
@@ -22,35 +22,35 @@
     }
     void onChanged(const MirroredObject &object) override { names.insert(object.name); }
     void onRemoved(const std::string &name, units::TimePoint) override { names.erase(name); }
-    void onProven(units::TimePoint at) override { provenAt = at; }
-    void onDivision(const std::optional<routing::FleetDivision> &told) override
+    void onConfirmed(units::TimePoint at) override { confirmedUntil = at; }
+    void onDivision(const std::optional<routing::FleetDivision> &newDivision) override
     {
-        division = told.value_or(routing::FleetDivision());
+        division = newDivision.value_or(routing::FleetDivision());
     }
     bool isDivided() const override { return division.cells() > 1; }
 
     int lists = 0;
     std::set<std::string> names;
     routing::FleetDivision division;
-    units::TimePoint provenAt{};
+    units::TimePoint confirmedUntil{};
 };
 
 const std::string FollowerIp = "10.0.0.2";
 
-// Sends a mirror to the source that a test wants.
-struct ChosenSource : MirrorSources
+// Makes a mirror read from the source that the test chooses.
+struct FixedSourceProvider : MirrorSourceProvider
 {
     routing::StoreSource next(bool) override { return source; }
     asio::ip::tcp::endpoint addressOf(const routing::StoreSource &wanted) const override
     {
         return wanted.kind == routing::StoreSource::Kind::Host ? host : store;
     }
-    void onAnswered(const routing::StoreSource &, units::TimePoint) override { ++answered; }
-    void onFailed(const routing::StoreSource &failed, const StoreAnswer &,
+    void onResponse(const routing::StoreSource &, units::TimePoint) override { ++responses; }
+    void onFailed(const routing::StoreSource &failed, const StoreResponse &,
                   units::TimePoint) override
     {
         ++failures;
-        // As the decision does: the next source is the store.
+        // As in production: the next source is the store.
         if (failed.kind == routing::StoreSource::Kind::Host)
             readFromStore();
     }
@@ -67,22 +67,22 @@
     routing::StoreSource source;
     asio::ip::tcp::endpoint store;
     asio::ip::tcp::endpoint host;
-    int answered = 0;
+    int responses = 0;
     int failures = 0;
     int longLists = 0;
 };
 
-// The store, a host that reads it and passes it on, and a host that reads from that one.
-struct RelayWorld : GatewayWorld
+// The store, a host that reads and relays it, and a host that reads from that one.
+struct RelayFixture : GatewayFixture
 {
-    RelayWorld()
+    RelayFixture()
         : lease(seconds(5), milliseconds(1300))
         , client(io, timers, metrics)
         , relay(
               io, timers, {asio::ip::make_address_v4(settings.ip), RelayPort}, lease,
               [this] {
-                  ++asked;
-                  return mayHaveStore;
+                  ++readRequests;
+                  return reachesStoreSoon;
               },
               [this] { return division; })
         , idleRelay(
@@ -90,38 +90,38 @@
               [] { return false; }, [] { return routing::FleetDivision(); })
         , reader(client, timers,
                  {"servers", milliseconds(1500), milliseconds(1500), milliseconds(700), "10.0.0.1"},
-                 readerSees, relay, readerSource)
+                 readerState, relay, readerSource)
         , follower(
               client, timers,
               {"servers", milliseconds(1500), milliseconds(1500), milliseconds(700), FollowerIp},
-              followerSees, idleRelay, followerSource)
+              followerState, idleRelay, followerSource)
     {
         readerSource.store = store.address();
         followerSource.store = store.address();
         followerSource.host = {asio::ip::make_address_v4(settings.ip), RelayPort};
         followerSource.readFromHost();
     }
-    void begin()
+    void startMirrors()
     {
         lease.renew(clock.now());
         reader.start();
-        REQUIRE(runUntil([&] { return !readerSees.names.empty(); }));
+        REQUIRE(runUntil([&] { return !readerState.names.empty(); }));
         follower.start();
-        REQUIRE(runUntil([&] { return followerSees.names == readerSees.names; }));
+        REQUIRE(runUntil([&] { return followerState.names == readerState.names; }));
     }
 
     observability::Metrics metrics;
     routing::FreshnessLease lease;
     StoreClient client;
-    int asked = 0;
-    bool mayHaveStore = true;
+    int readRequests = 0;
+    bool reachesStoreSoon = true;
     routing::FleetDivision division;
     StoreRelay relay;
     StoreRelay idleRelay;
-    Recorder readerSees;
-    Recorder followerSees;
-    ChosenSource readerSource;
-    ChosenSource followerSource;
+    RecordingListener readerState;
+    RecordingListener followerState;
+    FixedSourceProvider readerSource;
+    FixedSourceProvider followerSource;
     ObjectMirror reader;
     ObjectMirror follower;
 };
@@ -130,241 +130,244 @@
 
 TEST_CASE("StoreRelay.ChangesReachTheFollowerWithoutACallToTheStore")
 {
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    const int calls = world.store.calls();
-    world.announce("p2", "plain", "127.0.0.1:9");
-    CHECK(world.runUntil([&] { return world.followerSees.names.count("p2") == 1; },
-                         milliseconds(200)));
-    world.store.remove("servers", "p1");
-    CHECK(world.runUntil([&] { return world.followerSees.names.count("p1") == 0; },
-                         milliseconds(200)));
-    CHECK(world.store.calls() - calls <= 2); // the reader's watches
-    CHECK(world.followerSource.failures == 0);
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    const int calls = fixture.store.calls();
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count("p2") == 1; },
+                           milliseconds(200)));
+    fixture.store.remove("servers", "p1");
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count("p1") == 0; },
+                           milliseconds(200)));
+    CHECK(fixture.store.calls() - calls <= 2); // the reader's watches
+    CHECK(fixture.followerSource.failures == 0);
 }
 
-TEST_CASE("StoreRelay.FollowerThatMovesReadsNoListAgain")
+TEST_CASE("StoreRelay.FollowerThatSwitchesSourceDoesNotListAgain")
 {
-    // A reader dies and its followers go to another, or hosts that read the store become followers.
-    // If each read the whole list again, the new reader's link would be busy for longer than the
-    // calls may take, and nobody would serve for half a minute.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.followerSource.readFromStore();
-    world.begin();
-    const int lists = world.followerSees.lists;
-    world.followerSource.readFromHost();
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.runFor(milliseconds(300));
-    world.announce("p3", "plain", "127.0.0.1:9");
-    CHECK(world.runUntil([&] { return world.followerSees.names.count("p3") == 1; },
-                         milliseconds(300)));
-    CHECK(world.followerSees.names.count("p2") == 1);
-    CHECK(world.followerSees.lists == lists);
-    CHECK(world.followerSource.failures == 0);
+    // Followers switch to another reader, or hosts that read the store become followers. If each
+    // listed again, the new reader's link would be busy for longer than the calls' timeouts, and no
+    // host would serve for half a minute.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.followerSource.readFromStore();
+    fixture.startMirrors();
+    const int lists = fixture.followerState.lists;
+    fixture.followerSource.readFromHost();
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.runFor(milliseconds(300));
+    fixture.announce("p3", "plain", "127.0.0.1:9");
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count("p3") == 1; },
+                           milliseconds(300)));
+    CHECK(fixture.followerState.names.count("p2") == 1);
+    CHECK(fixture.followerState.lists == lists);
+    CHECK(fixture.followerSource.failures == 0);
 }
 
 TEST_CASE("StoreRelay.ChangesThatArriveTogetherAllReachTheFollower")
 {
-    // The reader learns of three changes in one answer, which has one revision. A follower that is
-    // told of the first at this revision asks for what came after it, and would miss the others:
-    // endpoints that leave would get requests for ever.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    world.store.setBehavior(
-        standins::StoreBehavior::Silent); // keeps the events until they are together
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.announce("p3", "plain", "127.0.0.1:9");
-    world.store.remove("servers", "p1");
-    world.store.setBehavior(standins::StoreBehavior::Normal);
-    world.announce("p4", "plain", "127.0.0.1:9");
+    // The reader gets several changes in one response, which has one revision. A follower that got
+    // only the first at this revision would then request later ones and miss the others: removed
+    // endpoints would get requests for ever.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    fixture.store.setBehavior(standins::StoreBehavior::Silent); // holds back all events
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.announce("p3", "plain", "127.0.0.1:9");
+    fixture.store.remove("servers", "p1");
+    fixture.store.setBehavior(standins::StoreBehavior::Normal);
+    fixture.announce("p4", "plain", "127.0.0.1:9");
     const std::set<std::string> expected{"p2", "p3", "p4"};
-    CHECK(world.runUntil([&] { return world.followerSees.names == expected; }, milliseconds(500)));
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names == expected; },
+                           milliseconds(500)));
 }
 
-TEST_CASE("StoreRelay.FollowersProofIsNeverYoungerThanTheReaders")
+TEST_CASE("StoreRelay.FollowersProofIsNeverMoreRecentThanTheReaders")
 {
-    // The reader's last proof is two seconds old. The follower must not take the answer for a
-    // fresh proof, or a revoked key would live on for that much longer.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.lease.renew(world.clock.now());
-    world.reader.start();
-    REQUIRE(world.runUntil([&] { return !world.readerSees.names.empty(); }));
-    const units::TimePoint readersProof = world.clock.now() - seconds(2);
-    world.lease = routing::FreshnessLease(seconds(5), milliseconds(1300));
-    world.lease.renew(readersProof);
-    world.follower.start();
-    world.runFor(milliseconds(1000));
-    REQUIRE(world.followerSees.provenAt != units::TimePoint{});
-    CHECK(world.followerSees.provenAt <= readersProof + milliseconds(2));
+    // The reader's last proof is two seconds old. If the follower took the response for a fresh
+    // proof, it would accept a revoked key for that much longer.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.lease.renew(fixture.clock.now());
+    fixture.reader.start();
+    REQUIRE(fixture.runUntil([&] { return !fixture.readerState.names.empty(); }));
+    const units::TimePoint readersProof = fixture.clock.now() - seconds(2);
+    fixture.lease = routing::FreshnessLease(seconds(5), milliseconds(1300));
+    fixture.lease.renew(readersProof);
+    fixture.follower.start();
+    fixture.runFor(milliseconds(1000));
+    REQUIRE(fixture.followerState.confirmedUntil != units::TimePoint{});
+    CHECK(fixture.followerState.confirmedUntil <= readersProof + milliseconds(2));
 }
 
-TEST_CASE("StoreRelay.FollowerIsAnsweredWithEachAnswerOfTheStore")
+TEST_CASE("StoreRelay.FollowerGetsAResponseWithEachResponseOfTheStore")
 {
-    // In an outage each host accepts keys until its last proof is too old. A follower that waited
-    // for its own interval would stop earlier than the reader does.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    world.runFor(milliseconds(800)); // the follower's wait is over, the reader's is not
-    const int answered = world.followerSource.answered;
-    const units::TimePoint before = world.readerSees.provenAt;
-    REQUIRE(world.runUntil([&] { return world.readerSees.provenAt > before; }, seconds(2)));
-    CHECK(world.runUntil([&] { return world.followerSource.answered > answered; },
-                         milliseconds(100)));
+    // In an outage each host accepts keys until its last proof is too old. A follower that always
+    // waited for its own interval would stop earlier than its reader.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    fixture.runFor(milliseconds(800)); // the follower's wait has ended, the reader's has not
+    const int responses = fixture.followerSource.responses;
+    const units::TimePoint before = fixture.readerState.confirmedUntil;
+    REQUIRE(
+        fixture.runUntil([&] { return fixture.readerState.confirmedUntil > before; }, seconds(2)));
+    CHECK(fixture.runUntil([&] { return fixture.followerSource.responses > responses; },
+                           milliseconds(100)));
 }
 
-TEST_CASE("StoreRelay.CallWaitsAMomentForAReaderThatLostOneAnswer")
+TEST_CASE("StoreRelay.CallIsHeldBrieflyForAReaderThatMissedOneResponse")
 {
-    // One answer of the store to the reader is lost. Its followers need not look for another
-    // reader: the call that comes in the gap is answered when the store is back.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    world.relay.onCurrent("servers", false);
-    world.runFor(milliseconds(100));
-    world.relay.onCurrent("servers", true);
-    world.runFor(milliseconds(300));
-    CHECK(world.followerSource.failures == 0);
+    // One response of the store to the reader is lost. Its followers need not switch to another
+    // reader: a call during the gap gets a response when the reader reaches the store again.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    fixture.relay.onCurrent("servers", false);
+    fixture.runFor(milliseconds(100));
+    fixture.relay.onCurrent("servers", true);
+    fixture.runFor(milliseconds(300));
+    CHECK(fixture.followerSource.failures == 0);
 }
 
-TEST_CASE("StoreRelay.FollowerLearnsAtOnceThatItsReaderCantHaveTheStore")
+TEST_CASE("StoreRelay.FollowerLearnsAtOnceThatItsReaderCantReachTheStore")
 {
-    // The store refuses the reader and serves others. Its followers must not wait for it.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    world.mayHaveStore = false;
-    world.relay.onCurrent("servers", false);
-    CHECK(world.runUntil([&] { return world.followerSource.failures == 1; }, milliseconds(400)));
-    world.announce("p2", "plain", "127.0.0.1:9");
-    CHECK(world.runUntil([&] { return world.followerSees.names.count("p2") == 1; },
-                         milliseconds(500)));
+    // The store refuses the reader and serves others; its followers must not wait for it.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    fixture.reachesStoreSoon = false;
+    fixture.relay.onCurrent("servers", false);
+    CHECK(
+        fixture.runUntil([&] { return fixture.followerSource.failures == 1; }, milliseconds(400)));
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count("p2") == 1; },
+                           milliseconds(500)));
 }
 
-TEST_CASE("StoreRelay.PatientCallIsAnsweredWhenTheStoreIsBack")
+TEST_CASE("StoreRelay.CallThatWaitsForTheStoreGetsAResponseAfterTheOutage")
 {
-    // All readers have lost the store, and the follower waits for its return at one of them.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.begin();
-    world.relay.onCurrent("servers", false);
-    world.followerSource.source.waitsForStore = true;
-    world.runFor(milliseconds(500));
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.relay.onCurrent("servers", true);
-    CHECK(world.runUntil([&] { return world.followerSees.names.count("p2") == 1; },
-                         milliseconds(200)));
+    // No reader can reach the store, and the follower waits at one of them until it can.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    fixture.relay.onCurrent("servers", false);
+    fixture.followerSource.source.waitsForStore = true;
+    fixture.runFor(milliseconds(500));
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.relay.onCurrent("servers", true);
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count("p2") == 1; },
+                           milliseconds(200)));
 }
 
-TEST_CASE("StoreRelay.FollowersNeedNoListWhenTheStoresHistoryIsGone")
+TEST_CASE("StoreRelay.FollowersDoNotListAgainWhenTheStoresHistoryIsGone")
 {
-    // The store drops its history and the reader lists. What differs from before are the changes
-    // in the gap, and each follower is told of these, removals included.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.begin();
-    const int lists = world.followerSees.lists;
-    world.store.setBehavior(standins::StoreBehavior::Silent); // keeps the watch from telling
-    world.store.remove("servers", "p1");
-    world.announce("p3", "plain", "127.0.0.1:9");
-    world.store.setBehavior(standins::StoreBehavior::Normal);
-    world.store.compact();
+    // The store drops its history, and the reader lists. The differences to its previous state are
+    // the changes in the gap, and each follower gets these, including removals.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.startMirrors();
+    const int lists = fixture.followerState.lists;
+    fixture.store.setBehavior(standins::StoreBehavior::Silent); // keeps the watch from reporting
+    fixture.store.remove("servers", "p1");
+    fixture.announce("p3", "plain", "127.0.0.1:9");
+    fixture.store.setBehavior(standins::StoreBehavior::Normal);
+    fixture.store.compact();
     const std::set<std::string> expected{"p2", "p3"};
-    CHECK(world.runUntil([&] { return world.followerSees.names == expected; }, seconds(1)));
-    CHECK(world.followerSees.lists == lists);
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names == expected; }, seconds(1)));
+    CHECK(fixture.followerState.lists == lists);
 }
 
-TEST_CASE("StoreRelay.ListOlderThanWhatIsKnownIsNotUsed")
+TEST_CASE("StoreRelay.ListOlderThanTheKnownStateIsRejected")
 {
-    // The follower knows that an endpoint is gone and then has to list at a reader. One that has
-    // not heard of the removal yet must not bring the endpoint back.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.followerSource.readFromStore();
-    world.follower.start();
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.size() == 2; }));
-    const std::uint64_t before = world.store.revision();
-    world.store.remove("servers", "p1");
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.size() == 1; }));
+    // The follower knows that an endpoint is gone and then has to list at a reader. A reader that
+    // does not know of the removal yet must not bring the endpoint back.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.followerSource.readFromStore();
+    fixture.follower.start();
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.size() == 2; }));
+    const std::uint64_t before = fixture.store.revision();
+    fixture.store.remove("servers", "p1");
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.size() == 1; }));
 
     MirroredObject old;
     old.name = "p1";
     old.revision = routing::Revision(before - 1);
-    world.lease.renew(world.clock.now());
-    world.relay.onList("servers", {old}, before);
-    world.relay.onCurrent("servers", true);
-    world.followerSource.readFromHost();
-    world.store.compact(); // ends the follower's watch; the next call goes to the reader
-    REQUIRE(world.runUntil([&] { return world.followerSource.failures > 0; }));
-    CHECK(world.followerSees.names == std::set<std::string>{"p2"});
+    fixture.lease.renew(fixture.clock.now());
+    fixture.relay.onList("servers", {old}, before);
+    fixture.relay.onCurrent("servers", true);
+    fixture.followerSource.readFromHost();
+    fixture.store.compact(); // ends the follower's watch; the next call goes to the reader
+    REQUIRE(fixture.runUntil([&] { return fixture.followerSource.failures > 0; }));
+    CHECK(fixture.followerState.names == std::set<std::string>{"p2"});
 }
 
-TEST_CASE("ObjectMirror.ListThatMayBeOldIsNotUsedBeforeItIsBroughtUpToDate")
+TEST_CASE("ObjectMirror.StaleListIsNotUsedBeforeTheFirstWatchReturns")
 {
-    // A starting host reads a list that is some seconds old, which costs little. An endpoint that
-    // left since must not get requests, not even for the moment until the first watch answers.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.announce("p2", "plain", "127.0.0.1:9");
-    world.store.keepForStaleLists();
-    world.store.remove("servers", "p1");
-    world.followerSource.readFromStore();
-    world.followerSource.source.mayBeStale = true;
-    world.follower.start();
-    REQUIRE(world.runUntil([&] { return world.followerSource.answered == 1; }));
-    CHECK(world.followerSees.names.empty());
-    world.followerSource.readFromStore();
-    CHECK(world.runUntil([&] { return world.followerSees.names == std::set<std::string>{"p2"}; }));
-    CHECK(world.store.staleLists() == 1);
+    // A starting host reads a list that is some seconds old, as that costs little. An endpoint that
+    // was removed since must not get requests, even before the first watch has returned.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    fixture.store.freezeStaleLists();
+    fixture.store.remove("servers", "p1");
+    fixture.followerSource.readFromStore();
+    fixture.followerSource.source.mayBeStale = true;
+    fixture.follower.start();
+    REQUIRE(fixture.runUntil([&] { return fixture.followerSource.responses == 1; }));
+    CHECK(fixture.followerState.names.empty());
+    fixture.followerSource.readFromStore();
+    CHECK(fixture.runUntil(
+        [&] { return fixture.followerState.names == std::set<std::string>{"p2"}; }));
+    CHECK(fixture.store.staleLists() == 1);
 }
 
-TEST_CASE("ObjectMirror.WatchThatFailsIsContinuedWithoutAList")
+TEST_CASE("ObjectMirror.FailedWatchContinuesWithoutAList")
 {
-    // The store loses one answer. A list would cost the store and the link more than to ask again
-    // for what changed.
-    RelayWorld world;
-    world.announce("p1", "plain", "127.0.0.1:9");
-    world.followerSource.readFromStore();
-    world.follower.start();
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.size() == 1; }));
-    const int lists = world.store.lists();
-    world.store.setBehavior(standins::StoreBehavior::DroppingResponses);
-    REQUIRE(world.runUntil([&] { return world.followerSource.failures > 0; }, seconds(3)));
-    world.store.setBehavior(standins::StoreBehavior::Normal);
-    world.announce("p2", "plain", "127.0.0.1:9");
-    CHECK(world.runUntil([&] { return world.followerSees.names.size() == 2; }, seconds(1)));
-    CHECK(world.store.lists() == lists);
+    // One response of the store is lost. Another list would cost the store and the link more than
+    // a new watch from the same revision.
+    RelayFixture fixture;
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    fixture.followerSource.readFromStore();
+    fixture.follower.start();
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.size() == 1; }));
+    const int lists = fixture.store.lists();
+    fixture.store.setBehavior(standins::StoreBehavior::DroppingResponses);
+    REQUIRE(fixture.runUntil([&] { return fixture.followerSource.failures > 0; }, seconds(3)));
+    fixture.store.setBehavior(standins::StoreBehavior::Normal);
+    fixture.announce("p2", "plain", "127.0.0.1:9");
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.size() == 2; }, seconds(1)));
+    CHECK(fixture.store.lists() == lists);
 }
 
-TEST_CASE("StoreRelay.ManyVersionsOfALargeObjectAreKeptOnce")
+TEST_CASE("StoreRelay.OnlyTheLastVersionOfALargeObjectIsKept")
 {
-    // Configurations with thousands of routes come in quick succession. A host that kept each
-    // version for followers that are behind would run out of memory; the last one is enough.
-    RelayWorld world;
+    // Configurations with thousands of routes may come in quick succession. A host that kept each
+    // version for followers that are behind would run out of memory; the last one suffices.
+    RelayFixture fixture;
     const std::string large(100000, 'x');
-    world.store.put("servers", "big", large);
-    world.begin();
-    world.followerSource.readFromStore();
+    fixture.store.put("servers", "big", large);
+    fixture.startMirrors();
+    fixture.followerSource.readFromStore();
     for (int i = 0; i < 20; ++i) {
-        world.store.put("servers", "big", large + std::to_string(i));
-        world.runFor(milliseconds(30));
+        fixture.store.put("servers", "big", large + std::to_string(i));
+        fixture.runFor(milliseconds(30));
     }
-    world.announce("p1", "plain", "127.0.0.1:9");
-    const auto client = RawClient::connect(world.io, world.followerSource.host);
+    fixture.announce("p1", "plain", "127.0.0.1:9");
+    const auto client = RawClient::connect(fixture.io, fixture.followerSource.host);
     client->send("GET /objects/servers?watch=1&wait_ms=0 HTTP/1.1\r\nHost: x\r\n\r\n");
-    REQUIRE(world.runUntil([&] { return client->isWhole(); }, seconds(2)));
-    // The revision asked for is older than the reader's first list; from there on one state each.
+    REQUIRE(fixture.runUntil([&] { return client->isComplete(); }, seconds(2)));
+    // Revision 1 is older than the reader's first list. From there on, one state of each object.
     client->clear();
     const std::uint64_t first = 2;
     client->send("GET /objects/servers?watch=" + std::to_string(first)
                  + "&wait_ms=0 HTTP/1.1\r\nHost: x\r\n\r\n");
-    REQUIRE(world.runUntil([&] { return client->isWhole(); }, seconds(2)));
+    REQUIRE(fixture.runUntil([&] { return client->isComplete(); }, seconds(2)));
     CHECK(client->status() == 200);
     CHECK(client->body().size() < 2 * large.size());
 }
@@ -372,9 +375,9 @@
 namespace {
 
 // A fleet of four cells in which the pool "plain" is divided.
-struct DividedWorld : RelayWorld
+struct DividedFixture : RelayFixture
 {
-    DividedWorld()
+    DividedFixture()
     {
         division = routing::FleetDivision(4, {"plain"});
         for (int i = 0; i < 40; ++i)
@@ -389,19 +392,19 @@
     std::set<std::string> ofFollowersCell() const
     {
         std::set<std::string> names{"m1"};
-        for (const std::string &name : readerSees.names) {
+        for (const std::string &name : readerState.names) {
             if (name != "m1" && isInFollowersCell(name))
                 names.insert(name);
         }
         return names;
     }
-    void beginDivided()
+    void startDivided()
     {
         lease.renew(clock.now());
         reader.start();
-        REQUIRE(runUntil([&] { return readerSees.names.size() == 41; }));
+        REQUIRE(runUntil([&] { return readerState.names.size() == 41; }));
         follower.start();
-        REQUIRE(runUntil([&] { return followerSees.lists == 1; }));
+        REQUIRE(runUntil([&] { return followerState.lists == 1; }));
     }
     std::string nameInCell(bool followers) const
     {
@@ -414,71 +417,73 @@
 
 } // namespace
 
-// Guards against hosts that each hold, list and decode the endpoints of the whole fleet.
-TEST_CASE("StoreRelay.FollowerHoldsTheEndpointsOfItsCellAndOfPoolsThatAreNotDivided")
+// Guards against hosts that each list, decode and hold the endpoints of the whole fleet.
+TEST_CASE("StoreRelay.FollowerHoldsTheEndpointsOfItsCellAndOfUndividedPools")
 {
-    DividedWorld world;
-    world.beginDivided();
-    CHECK(world.followerSees.division == world.division);
-    CHECK(world.followerSees.names == world.ofFollowersCell());
-    CHECK(world.followerSees.names.size() < 25);
-    const std::string other = world.nameInCell(false);
-    const std::string own = world.nameInCell(true);
-    world.announce(other, "plain", "127.0.0.1:9");
-    world.announce(own, "plain", "127.0.0.1:9");
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.count(own) == 1; }));
-    CHECK(world.followerSees.names.count(other) == 0);
-    world.store.remove("servers", own);
-    CHECK(world.runUntil([&] { return world.followerSees.names.count(own) == 0; }));
-    CHECK(world.followerSees.lists == 1);
+    DividedFixture fixture;
+    fixture.startDivided();
+    CHECK(fixture.followerState.division == fixture.division);
+    CHECK(fixture.followerState.names == fixture.ofFollowersCell());
+    CHECK(fixture.followerState.names.size() < 25);
+    const std::string other = fixture.nameInCell(false);
+    const std::string own = fixture.nameInCell(true);
+    fixture.announce(other, "plain", "127.0.0.1:9");
+    fixture.announce(own, "plain", "127.0.0.1:9");
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.count(own) == 1; }));
+    CHECK(fixture.followerState.names.count(other) == 0);
+    fixture.store.remove("servers", own);
+    CHECK(fixture.runUntil([&] { return fixture.followerState.names.count(own) == 0; }));
+    CHECK(fixture.followerState.lists == 1);
 }
 
 // Guards against a follower that misses endpoints of its new cell after the fleet has grown.
-TEST_CASE("StoreRelay.FollowerListsAgainWhenTheFleetIsDividedAnew")
+TEST_CASE("StoreRelay.FollowerListsAgainWhenTheFleetDivisionChanges")
 {
-    DividedWorld world;
-    world.beginDivided();
-    world.division = routing::FleetDivision(2, {"plain"});
-    world.announce("p41", "plain", "127.0.0.1:9");
-    CHECK(world.runUntil([&] {
-        return world.followerSees.lists == 2 && world.followerSees.names == world.ofFollowersCell();
+    DividedFixture fixture;
+    fixture.startDivided();
+    fixture.division = routing::FleetDivision(2, {"plain"});
+    fixture.announce("p41", "plain", "127.0.0.1:9");
+    CHECK(fixture.runUntil([&] {
+        return fixture.followerState.lists == 2
+            && fixture.followerState.names == fixture.ofFollowersCell();
     }));
 }
 
-// Guards against a host that goes on with the endpoints of its cell when it reads for others.
+// Guards against a host that keeps only the endpoints of its cell when it reads for others.
 TEST_CASE("StoreRelay.FollowerThatBecomesAReaderListsAllEndpoints")
 {
-    DividedWorld world;
-    world.beginDivided();
-    world.followerSource.readFromStore();
-    CHECK(world.runUntil([&] { return world.followerSees.names == world.readerSees.names; }));
-    CHECK(world.followerSees.division.cells() == 1);
+    DividedFixture fixture;
+    fixture.startDivided();
+    fixture.followerSource.readFromStore();
+    CHECK(
+        fixture.runUntil([&] { return fixture.followerState.names == fixture.readerState.names; }));
+    CHECK(fixture.followerState.division.cells() == 1);
 }
 
-// Guards against followers that wait until the next reader has listed the endpoints of all cells.
-TEST_CASE("StoreRelay.FollowerThatStandsByHoldsAllEndpointsAndBecomesAReaderWithoutAList")
+// Guards against followers that wait until their new reader has listed the endpoints of all cells.
+TEST_CASE("StoreRelay.StandbyFollowerHoldsAllEndpointsAndBecomesAReaderWithoutAList")
 {
-    DividedWorld world;
-    world.followerSource.source.wantsAllObjects = true;
-    world.beginDivided();
-    CHECK(world.followerSees.names == world.readerSees.names);
-    const std::string other = world.nameInCell(false);
-    world.announce(other, "plain", "127.0.0.1:9");
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.count(other) == 1; }));
-    world.followerSource.readFromStore();
-    world.announce(other + "1", "plain", "127.0.0.1:9");
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.count(other + "1") == 1; }));
-    CHECK(world.followerSees.lists == 1);
+    DividedFixture fixture;
+    fixture.followerSource.source.wantsAllObjects = true;
+    fixture.startDivided();
+    CHECK(fixture.followerState.names == fixture.readerState.names);
+    const std::string other = fixture.nameInCell(false);
+    fixture.announce(other, "plain", "127.0.0.1:9");
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.count(other) == 1; }));
+    fixture.followerSource.readFromStore();
+    fixture.announce(other + "1", "plain", "127.0.0.1:9");
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.count(other + "1") == 1; }));
+    CHECK(fixture.followerState.lists == 1);
 }
 
-// Guards against a change of one endpoint that costs a reader a walk over all of them.
-TEST_CASE("StoreRelay.OneChangeLooksAtNoOtherObject")
+// Guards against a reader that visits all endpoints when one of them changes.
+TEST_CASE("StoreRelay.OneChangeVisitsNoOtherObject")
 {
-    DividedWorld world;
-    world.beginDivided();
-    const std::uint64_t before = world.relay.work().value();
-    const std::string own = world.nameInCell(true);
-    world.announce(own, "plain", "127.0.0.1:9");
-    REQUIRE(world.runUntil([&] { return world.followerSees.names.count(own) == 1; }));
-    CHECK(world.relay.work().value() - before <= 2);
+    DividedFixture fixture;
+    fixture.startDivided();
+    const std::uint64_t before = fixture.relay.work().value();
+    const std::string own = fixture.nameInCell(true);
+    fixture.announce(own, "plain", "127.0.0.1:9");
+    REQUIRE(fixture.runUntil([&] { return fixture.followerState.names.count(own) == 1; }));
+    CHECK(fixture.relay.work().value() - before <= 2);
 }
--- a/tests/platform_standin/demo/main.cpp
+++ b/tests/platform_standin/demo/main.cpp
@@ -13,9 +13,9 @@
 #include <cstdio>
 #include <map>
 
-// Plays the users' platform for a demonstration: its store, six workers, and callers that ask the
-// directory, send a burst and check every answer, and the calls for usage reports. Ends with 1 if
-// an answer was not whole, or no report accounts for the requests.
+// Simulates the users' platform for a demonstration: its store, its API for usage reports, six
+// workers, and clients that query the directory, send a burst of requests and check every
+// response. Exits with 1 if a response was incomplete or the usage reports miss requests.
 
 namespace {
 
@@ -23,11 +23,11 @@
 using nlohmann::json;
 
 constexpr auto CallTimeout = std::chrono::seconds(10);
-// For all requests to be accounted for in the usage reports.
-constexpr auto ReportsWithin = std::chrono::seconds(20);
-constexpr auto ReportsCheck = std::chrono::milliseconds(200);
+// Limit for all requests to be included in the usage reports.
+constexpr auto ReportTimeout = std::chrono::seconds(20);
+constexpr auto ReportCheckInterval = std::chrono::milliseconds(200);
 
-// Requests of all workspaces in the accepted reports.
+// Number of requests of all workspaces in the accepted reports.
 std::int64_t reportedRequests(const standins::StandInDuties &duties)
 {
     std::int64_t sum = 0;
@@ -61,10 +61,10 @@
             {"tenants", {{{"name", "club"}, {"api_keys", {"demo-key"}}}}}};
 }
 
-struct Tally
+struct ClassResult
 {
     int sent = 0;
-    int whole = 0;
+    int complete = 0;
     int refused = 0;
     int failed = 0;
     std::vector<double> milliseconds;
@@ -106,7 +106,7 @@
     {
         if (!done_)
             return;
-        // The timeout's function is the last owner of this call while its response is awaited.
+        // The timer's handler is the last owner of this call while it waits for its response.
         const auto self = shared_from_this();
         const Done done = std::move(done_);
         done_ = nullptr;
@@ -124,10 +124,10 @@
     std::string body_;
 };
 
-class Callers
+class Clients
 {
 public:
-    Callers(asio::io_context &io, httpio::Timers &timers, std::string directory, int requests)
+    Clients(asio::io_context &io, httpio::Timers &timers, std::string directory, int requests)
         : io_(io)
         , timers_(timers)
         , directory_(std::move(directory))
@@ -135,43 +135,43 @@
     {
     }
 
-    // Asks the directory until hosts are there, then sends the burst.
+    // Queries the directory until it returns three hosts, then sends the burst.
     void start()
     {
         get(directory_, "/resolve?name=demo.example", [this](int status, const std::string &body) {
-            const json answer = json::parse(body, nullptr, false);
-            if (status == 200 && answer.is_object() && answer["addresses"].size() >= 3)
-                sendBurst(answer["addresses"].get<std::vector<std::string>>());
+            const json response = json::parse(body, nullptr, false);
+            if (status == 200 && response.is_object() && response["addresses"].size() >= 3)
+                sendBurst(response["addresses"].get<std::vector<std::string>>());
             else
                 timers_.after(std::chrono::milliseconds(200), [this] { start(); });
         });
     }
 
     void onDone(std::function<void()> handler) { onDone_ = std::move(handler); }
-    int whole() const
+    int complete() const
     {
         int sum = 0;
-        for (const auto &[name, tally] : tallies_)
-            sum += tally.whole;
+        for (const auto &[name, result] : results_)
+            sum += result.complete;
         return sum;
     }
 
     int report() const
     {
-        int notWhole = 0;
+        int incomplete = 0;
         std::printf("%-10s %6s %6s %8s %7s %9s %9s\n", "class", "sent", "whole", "refused",
                     "failed", "p50 ms", "p99 ms");
-        for (const auto &[name, tally] : tallies_) {
-            std::vector<double> times = tally.milliseconds;
+        for (const auto &[name, result] : results_) {
+            std::vector<double> times = result.milliseconds;
             std::sort(times.begin(), times.end());
             const auto at = [&](double share) {
                 return times.empty() ? 0 : times[std::size_t(share * double(times.size() - 1))];
             };
-            std::printf("%-10s %6d %6d %8d %7d %9.1f %9.1f\n", name.c_str(), tally.sent,
-                        tally.whole, tally.refused, tally.failed, at(0.5), at(0.99));
-            notWhole += tally.failed;
+            std::printf("%-10s %6d %6d %8d %7d %9.1f %9.1f\n", name.c_str(), result.sent,
+                        result.complete, result.refused, result.failed, at(0.5), at(0.99));
+            incomplete += result.failed;
         }
-        return notWhole == 0 ? 0 : 1;
+        return incomplete == 0 ? 0 : 1;
     }
 
 private:
@@ -205,23 +205,24 @@
             headers.emplace_back("Token-Counts", "100,20");
             headers.emplace_back("Prompt-Prefix", "s" + std::to_string(number % 7) + ":80,own:20");
         }
-        ++tallies_[name].sent;
+        ++results_[name].sent;
         const units::TimePoint begin = timers_.now();
         std::make_shared<Call>(
             io_, timers_, host, httpio::encodeRequestHead("POST", "/" + name + "/x", headers, 0),
             [this, name, isStream, begin](int status, const std::string &body) {
-                Tally &tally = tallies_[name];
-                const bool isWhole = isStream ? body.find("data: event 8\n\n") != std::string::npos
-                                              : body.find("answer of") == 0;
-                if (status == 200 && isWhole)
-                    ++tally.whole;
+                ClassResult &result = results_[name];
+                const bool isComplete = isStream
+                    ? body.find("data: event 8\n\n") != std::string::npos
+                    : body.find("answer of") == 0;
+                if (status == 200 && isComplete)
+                    ++result.complete;
                 else if (status == 503)
-                    ++tally.refused;
+                    ++result.refused;
                 else
-                    ++tally.failed;
-                tally.milliseconds.push_back(
+                    ++result.failed;
+                result.milliseconds.push_back(
                     std::chrono::duration<double, std::milli>(timers_.now() - begin).count());
-                if (++ended_ == requests_ && onDone_)
+                if (++finished_ == requests_ && onDone_)
                     onDone_();
             })
             ->start();
@@ -231,23 +232,23 @@
     httpio::Timers &timers_;
     std::string directory_;
     int requests_;
-    int ended_ = 0;
+    int finished_ = 0;
     std::function<void()> onDone_;
-    std::map<std::string, Tally> tallies_;
+    std::map<std::string, ClassResult> results_;
 };
 
 } // namespace
 
 int main(int argc, char **argv)
 {
-    CLI::App app("Plays the users' platform and sends a burst through the gateways.",
+    CLI::App app("Simulates the users' platform and sends a burst through the gateways.",
                  "platform-demo");
     std::uint16_t storePort = 0;
     std::uint16_t dutiesPort = 0;
     std::string directory;
     int requests = 400;
     app.add_option("--store-port", storePort, "port of the store")->required();
-    app.add_option("--duties-port", dutiesPort, "port of the calls of duties")->required();
+    app.add_option("--duties-port", dutiesPort, "port of the platform's API")->required();
     app.add_option("--directory", directory, "IP:PORT of a gateway's directory")->required();
     app.add_option("--requests", requests, "requests of the burst");
     CLI11_PARSE(app, argc, argv);
@@ -270,26 +271,27 @@
         workers.push_back(std::make_unique<standins::StandInWorker>(io, timers, store, settings));
         workers.back()->announce("ready");
     }
-    Callers callers(io, timers, directory, requests);
-    // The last windows are reported a moment after the last request.
-    units::TimePoint reportsBy;
+    Clients clients(io, timers, directory, requests);
+    // The last windows are reported shortly after the last request.
+    units::TimePoint reportDeadline;
     std::function<void()> awaitReports = [&] {
-        const bool isDone = reportedRequests(duties) >= callers.whole();
-        if (isDone || timers.now() >= reportsBy)
+        const bool isFinished = reportedRequests(duties) >= clients.complete();
+        if (isFinished || timers.now() >= reportDeadline)
             io.stop();
         else
-            timers.after(ReportsCheck, awaitReports);
+            timers.after(ReportCheckInterval, awaitReports);
     };
-    callers.onDone([&] {
-        reportsBy = timers.now() + ReportsWithin;
+    clients.onDone([&] {
+        reportDeadline = timers.now() + ReportTimeout;
         awaitReports();
     });
-    callers.start();
+    clients.start();
     io.run();
-    const int status = callers.report();
+    const int status = clients.report();
     std::printf("%zu usage reports accepted, %lld requests in them, %zu faults\n",
                 duties.reports().size(), static_cast<long long>(reportedRequests(duties)),
                 duties.faults().size());
-    const bool isAccounted = duties.faults().empty() && reportedRequests(duties) >= callers.whole();
-    return isAccounted ? status : 1;
+    const bool allReported
+        = duties.faults().empty() && reportedRequests(duties) >= clients.complete();
+    return allReported ? status : 1;
 }
--- a/tests/platform_standin/rawpeer.cpp
+++ b/tests/platform_standin/rawpeer.cpp
@@ -9,11 +9,11 @@
 
 void RawConnection::write(const std::string &bytes)
 {
-    asio::error_code ignored; // the peer may have closed, which the test looks at itself
+    asio::error_code ignored; // the peer may have closed, which the test checks itself
     asio::write(socket_, asio::buffer(bytes), ignored);
 }
 
-void RawConnection::closeInOrder()
+void RawConnection::closeGracefully()
 {
     asio::error_code ignored;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
@@ -59,13 +59,13 @@
                 return;
             }
             connection->received_.append(connection->buffer_.data(), count);
-            takeRequests(*connection);
+            handleRequests(*connection);
             if (connection->socket_.is_open())
                 read(connection);
         });
 }
 
-void RawPeer::takeRequests(RawConnection &connection)
+void RawPeer::handleRequests(RawConnection &connection)
 {
     for (;;) {
         const std::size_t headEnd = connection.received_.find("\r\n\r\n");
--- a/tests/platform_standin/rawpeer.h
+++ b/tests/platform_standin/rawpeer.h
@@ -21,7 +21,7 @@
     }
 
     void write(const std::string &bytes);
-    void closeInOrder();
+    void closeGracefully();
     void reset();
     bool isClosedByPeer() const { return closedByPeer_; }
 
@@ -34,8 +34,8 @@
     bool closedByPeer_ = false;
 };
 
-// A server that answers with whatever bytes the test decides, to play faulty workers. The handler
-// gets each whole request (head and the body that its length announces).
+// A server that responds with bytes chosen by the test, to simulate faulty workers. The handler
+// gets each complete request (the head, and the body by its Content-Length).
 class RawPeer
 {
 public:
@@ -51,7 +51,7 @@
 private:
     void accept();
     void read(const std::shared_ptr<RawConnection> &connection);
-    void takeRequests(RawConnection &connection);
+    void handleRequests(RawConnection &connection);
 
     asio::ip::tcp::acceptor acceptor_;
     OnRequest onRequest_;
--- a/tests/platform_standin/standinduties.cpp
+++ b/tests/platform_standin/standinduties.cpp
@@ -24,7 +24,7 @@
         return;
     }
     if (request.head.target == "/usage" && body.is_object()) {
-        takeReport(body);
+        recordReport(body);
     } else if (request.head.target == "/scale" && body.is_object()) {
         orders_.push_back({body.value("service", ""), body.value("zone", ""),
                            body.value("desired", 0), body.value("spot", false)});
@@ -51,7 +51,7 @@
         faults_.emplace_back("two holders under one token");
 }
 
-void StandInDuties::takeReport(const json &body)
+void StandInDuties::recordReport(const json &body)
 {
     const auto known
         = reports_.emplace(body.value("window", std::int64_t(0)), body.value("counts", json()));
--- a/tests/platform_standin/standinduties.h
+++ b/tests/platform_standin/standinduties.h
@@ -13,7 +13,7 @@
 
 namespace monsoongrade::standins {
 
-// The platform's calls that one host at a time makes for all, as its pages describe them: usage
+// The platform's API that one host at a time calls for all, as documented by the platform: usage
 // reports and orders for workers.
 class StandInDuties
 {
@@ -30,21 +30,21 @@
     StandInDuties(asio::io_context &io, httpio::Timers &timers, std::uint16_t port);
 
     const asio::ip::tcp::endpoint &address() const { return server_->address(); }
-    // Answers so from now on; 200 at first.
+    // Status of all further responses; 200 by default.
     void setStatus(int status) { status_ = status; }
 
     // Accepted reports by window.
     const std::map<std::int64_t, nlohmann::json> &reports() const { return reports_; }
     // Accepted orders, the newest last.
     const std::vector<Order> &orders() const { return orders_; }
-    // Calls that no holder of a duty may make: without a holder or token, with a lower token than
-    // before, another holder's token, or another report of a window.
+    // Calls that no holder of the duty lease may make: without a holder or token, with a lower
+    // token than before, another holder's token, or a different report of a window.
     const std::vector<std::string> &faults() const { return faults_; }
 
 private:
     void handle(const httpio::ServerRequest &request, httpio::ResponseWriter &reply);
     void checkHolder(const httpio::ServerRequest &request);
-    void takeReport(const nlohmann::json &body);
+    void recordReport(const nlohmann::json &body);
 
     httpio::ServerLimits limits_;
     int status_ = 200;
--- a/tests/platform_standin/standinstore.cpp
+++ b/tests/platform_standin/standinstore.cpp
@@ -25,7 +25,7 @@
             {"status", nullptr}};
 }
 
-// "/objects/KIND/NAME" in parts; the name may be missing.
+// Splits "/objects/KIND/NAME"; the name may be missing.
 std::pair<std::string, std::string> kindAndName(const std::string &path)
 {
     const std::string prefix = "/objects/";
@@ -47,38 +47,38 @@
 
 void StandInStore::open(std::uint16_t port)
 {
-    entrances_.push_back(std::make_unique<Entrance>());
-    Entrance &entrance = *entrances_.back();
+    listeners_.push_back(std::make_unique<Listener>());
+    Listener &listener = *listeners_.back();
     const asio::ip::tcp::endpoint address(asio::ip::address_v4::loopback(), port);
-    entrance.server = std::make_unique<httpio::Server>(
+    listener.server = std::make_unique<httpio::Server>(
         io_, timers_, address, limits_,
-        [this, &entrance](const httpio::ServerRequest &request,
+        [this, &listener](const httpio::ServerRequest &request,
                           const std::shared_ptr<httpio::ResponseWriter> &reply) {
-            handle(entrance, request, reply);
+            handle(listener, request, reply);
         });
 }
 
 asio::ip::tcp::endpoint StandInStore::addAddress()
 {
     open(0);
-    return entrances_.back()->server->address();
+    return listeners_.back()->server->address();
 }
 
-void StandInStore::setBehavior(StoreBehavior mood)
+void StandInStore::setBehavior(StoreBehavior behavior)
 {
-    for (const auto &entrance : entrances_)
-        entrance->mood = mood;
+    for (const auto &listener : listeners_)
+        listener->behavior = behavior;
 }
 
-void StandInStore::setBehavior(StoreBehavior mood, const asio::ip::tcp::endpoint &address)
+void StandInStore::setBehavior(StoreBehavior behavior, const asio::ip::tcp::endpoint &address)
 {
-    for (const auto &entrance : entrances_) {
-        if (entrance->server->address() == address)
-            entrance->mood = mood;
+    for (const auto &listener : listeners_) {
+        if (listener->server->address() == address)
+            listener->behavior = behavior;
     }
 }
 
-void StandInStore::keepForStaleLists()
+void StandInStore::freezeStaleLists()
 {
     staleObjects_ = objects_;
     staleRevision_ = revision_;
@@ -89,7 +89,7 @@
     history_.clear();
     historyBegins_ = ++revision_;
     for (const auto &watch : watches_) {
-        watch->isOver = true;
+        watch->isFinished = true;
         watch->reply->respond(410, JsonHeaders, "{}");
     }
     watches_.clear();
@@ -126,17 +126,17 @@
 void StandInStore::record(const std::string &kind, const json &object, bool deleted)
 {
     history_.push_back({revision_, kind, object, deleted});
-    answerWatches();
+    respondToWatches();
 }
 
-void StandInStore::handle(const Entrance &entrance, const httpio::ServerRequest &request,
+void StandInStore::handle(const Listener &listener, const httpio::ServerRequest &request,
                           const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     const bool mayBeStale = request.head.target.find("allow_stale=1") != std::string::npos;
     ++(mayBeStale ? staleLists_ : calls_);
-    switch (entrance.mood) {
+    switch (listener.behavior) {
     case StoreBehavior::Silent:
-        unanswered_.push_back(reply);
+        heldReplies_.push_back(reply);
         return;
     case StoreBehavior::Refusing:
         reply->respond(503, {}, "");
@@ -145,18 +145,18 @@
         reply->abort();
         return;
     case StoreBehavior::Normal:
-        serve(entrance, request, reply);
+        serve(listener, request, reply);
         return;
     }
 }
 
-void StandInStore::serve(const Entrance &entrance, const httpio::ServerRequest &request,
+void StandInStore::serve(const Listener &listener, const httpio::ServerRequest &request,
                          const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
     const std::string &target = request.head.target;
-    const std::size_t mark = target.find('?');
-    const std::string query = mark == std::string::npos ? "" : target.substr(mark + 1);
-    const auto [kind, name] = kindAndName(target.substr(0, mark));
+    const std::size_t queryStart = target.find('?');
+    const std::string query = queryStart == std::string::npos ? "" : target.substr(queryStart + 1);
+    const auto [kind, name] = kindAndName(target.substr(0, queryStart));
     if (kind.empty()) {
         reply->respond(404, {}, "");
     } else if (request.head.method != "GET") {
@@ -168,7 +168,7 @@
         else
             reply->respond(200, JsonHeaders, found->second.dump());
     } else if (!http::queryValue(query, "watch").empty()) {
-        watch(entrance, kind, http::queryNumber(query, "watch"),
+        watch(listener, kind, http::queryNumber(query, "watch"),
               std::chrono::milliseconds(http::queryNumber(query, "wait_ms")), reply);
     } else if (http::queryNumber(query, "allow_stale") != 0 && staleObjects_) {
         list(*staleObjects_, staleRevision_, kind, http::queryValue(query, "after"), *reply);
@@ -181,21 +181,21 @@
 void StandInStore::list(const Objects &all, std::uint64_t asOf, const std::string &kind,
                         const std::string &after, httpio::ResponseWriter &reply)
 {
-    json answer{{"items", json::array()}, {"more", false}, {"as_of", asOf}};
+    json response{{"items", json::array()}, {"more", false}, {"as_of", asOf}};
     const auto ofKind = all.find(kind);
     const std::map<std::string, json> none;
     const std::map<std::string, json> &objects = ofKind == all.end() ? none : ofKind->second;
     for (auto it = objects.upper_bound(after); it != objects.end(); ++it) {
-        if (answer["items"].size() == PageSize) {
-            answer["more"] = true;
+        if (response["items"].size() == PageSize) {
+            response["more"] = true;
             break;
         }
-        answer["items"].push_back(it->second);
+        response["items"].push_back(it->second);
     }
-    reply.respond(200, JsonHeaders, answer.dump());
+    reply.respond(200, JsonHeaders, response.dump());
 }
 
-void StandInStore::watch(const Entrance &entrance, const std::string &kind, std::uint64_t from,
+void StandInStore::watch(const Listener &listener, const std::string &kind, std::uint64_t from,
                          std::chrono::milliseconds wait,
                          const std::shared_ptr<httpio::ResponseWriter> &reply)
 {
@@ -203,19 +203,19 @@
         reply->respond(410, JsonHeaders, "{}");
         return;
     }
-    auto waiting = std::make_shared<Watch>(Watch{kind, from, reply, &entrance, false});
+    auto waiting = std::make_shared<Watch>(Watch{kind, from, reply, &listener, false});
     watches_.push_back(waiting);
     timers_.after(wait, [this, waiting] {
-        if (waiting->isOver)
+        if (waiting->isFinished)
             return;
-        waiting->isOver = true;
-        if (waiting->entrance->mood != StoreBehavior::Normal)
-            return; // says nothing any more
+        waiting->isFinished = true;
+        if (waiting->listener->behavior != StoreBehavior::Normal)
+            return; // never responds
         watches_.erase(std::remove(watches_.begin(), watches_.end(), waiting), watches_.end());
         waiting->reply->respond(200, JsonHeaders,
                                 json{{"events", json::array()}, {"as_of", revision_}}.dump());
     });
-    answerWatches();
+    respondToWatches();
 }
 
 std::vector<StandInStore::Event> StandInStore::eventsSince(const std::string &kind,
@@ -229,19 +229,19 @@
     return events;
 }
 
-void StandInStore::answerWatches()
+void StandInStore::respondToWatches()
 {
     const std::vector<std::shared_ptr<Watch>> all = watches_;
     for (const auto &watch : all) {
         const std::vector<Event> events = eventsSince(watch->kind, watch->from);
-        if (events.empty() || watch->entrance->mood != StoreBehavior::Normal)
+        if (events.empty() || watch->listener->behavior != StoreBehavior::Normal)
             continue;
-        json answer{{"events", json::array()}, {"as_of", revision_}};
+        json response{{"events", json::array()}, {"as_of", revision_}};
         for (const Event &event : events)
-            answer["events"].push_back({{"object", event.object}, {"deleted", event.deleted}});
-        watch->isOver = true;
+            response["events"].push_back({{"object", event.object}, {"deleted", event.deleted}});
+        watch->isFinished = true;
         watches_.erase(std::remove(watches_.begin(), watches_.end(), watch), watches_.end());
-        watch->reply->respond(200, JsonHeaders, answer.dump());
+        watch->reply->respond(200, JsonHeaders, response.dump());
     }
 }
 
--- a/tests/platform_standin/standinstore.h
+++ b/tests/platform_standin/standinstore.h
@@ -14,51 +14,51 @@
 
 namespace monsoongrade::standins {
 
-// How the stand-in store treats calls.
+// How the stand-in store responds to calls.
 enum class StoreBehavior {
     Normal,
-    Silent, // takes calls and never answers
-    Refusing, // answers 503
-    DroppingResponses, // does what it is asked and closes the connection without an answer
+    Silent, // accepts calls and never responds
+    Refusing, // responds 503
+    DroppingResponses, // closes the connection without a response
 };
 
-// The platform's object store as its pages describe it, in memory: objects by kind and name, one
-// revision counter, lists, watches with a bounded history, conditional writes.
+// The platform's object store as documented by the platform, in memory: objects by kind and name,
+// one revision counter, lists, watches with a bounded history, conditional writes.
 class StandInStore
 {
 public:
     // Listens on 127.0.0.1; port 0 takes a free one.
     StandInStore(asio::io_context &io, httpio::Timers &timers, std::uint16_t port);
 
-    const asio::ip::tcp::endpoint &address() const { return entrances_.front()->server->address(); }
-    // One more address of the same store, which may treat its callers differently.
+    const asio::ip::tcp::endpoint &address() const { return listeners_.front()->server->address(); }
+    // Adds an address of the same store, whose behavior can be set separately.
     asio::ip::tcp::endpoint addAddress();
-    // How calls at all addresses are treated, or at one of them.
-    void setBehavior(StoreBehavior mood);
-    void setBehavior(StoreBehavior mood, const asio::ip::tcp::endpoint &address);
-    // From now on lists that may be stale show what the store holds now.
-    void keepForStaleLists();
-    // Drops the history and answers waiting watches with 410.
+    // Sets the behavior at all addresses, or at one of them.
+    void setBehavior(StoreBehavior behavior);
+    void setBehavior(StoreBehavior behavior, const asio::ip::tcp::endpoint &address);
+    // Makes all further stale lists show the store's content as of this call.
+    void freezeStaleLists();
+    // Drops the history and responds 410 to pending watches.
     void compact();
 
-    // What operator and endpoints do.
+    // Changes made by the operator and by endpoints.
     void put(const std::string &kind, const std::string &name, const nlohmann::json &spec);
     void remove(const std::string &kind, const std::string &name);
-    // Puts an event about an older state of an object at the end of the history.
+    // Appends an event with an older state of an object to the history.
     void repeatOldEvent(const std::string &kind, const std::string &name,
                         const nlohmann::json &oldSpec, std::uint64_t oldRevision);
 
     std::uint64_t revision() const { return revision_; }
-    // Calls but for lists that may be stale.
+    // All calls except stale lists.
     int calls() const { return calls_; }
     int staleLists() const { return staleLists_; }
     int lists() const { return lists_; }
 
 private:
-    struct Entrance
+    struct Listener
     {
         std::unique_ptr<httpio::Server> server;
-        StoreBehavior mood = StoreBehavior::Normal;
+        StoreBehavior behavior = StoreBehavior::Normal;
     };
     struct Event
     {
@@ -72,32 +72,32 @@
         std::string kind;
         std::uint64_t from = 0;
         std::shared_ptr<httpio::ResponseWriter> reply;
-        const Entrance *entrance = nullptr;
-        bool isOver = false;
+        const Listener *listener = nullptr;
+        bool isFinished = false;
     };
 
     using Objects = std::map<std::string, std::map<std::string, nlohmann::json>>;
 
     void open(std::uint16_t port);
-    void handle(const Entrance &entrance, const httpio::ServerRequest &request,
+    void handle(const Listener &listener, const httpio::ServerRequest &request,
                 const std::shared_ptr<httpio::ResponseWriter> &reply);
-    void serve(const Entrance &entrance, const httpio::ServerRequest &request,
+    void serve(const Listener &listener, const httpio::ServerRequest &request,
                const std::shared_ptr<httpio::ResponseWriter> &reply);
     static void list(const Objects &objects, std::uint64_t asOf, const std::string &kind,
                      const std::string &after, httpio::ResponseWriter &reply);
-    void watch(const Entrance &entrance, const std::string &kind, std::uint64_t from,
+    void watch(const Listener &listener, const std::string &kind, std::uint64_t from,
                std::chrono::milliseconds wait,
                const std::shared_ptr<httpio::ResponseWriter> &reply);
     void write(const std::string &method, const std::string &kind, const std::string &name,
                const std::string &body, httpio::ResponseWriter &reply);
     void record(const std::string &kind, const nlohmann::json &object, bool deleted);
     std::vector<Event> eventsSince(const std::string &kind, std::uint64_t from) const;
-    void answerWatches();
+    void respondToWatches();
 
     asio::io_context &io_;
     httpio::Timers &timers_;
     httpio::ServerLimits limits_;
-    std::vector<std::unique_ptr<Entrance>> entrances_;
+    std::vector<std::unique_ptr<Listener>> listeners_;
     Objects objects_;
     std::optional<Objects> staleObjects_;
     std::uint64_t staleRevision_ = 0;
@@ -105,7 +105,7 @@
     std::uint64_t revision_ = 1;
     std::uint64_t historyBegins_ = 1;
     std::vector<std::shared_ptr<Watch>> watches_;
-    std::vector<std::shared_ptr<httpio::ResponseWriter>> unanswered_;
+    std::vector<std::shared_ptr<httpio::ResponseWriter>> heldReplies_;
     int calls_ = 0;
     int lists_ = 0;
     int staleLists_ = 0;
--- a/tests/platform_standin/standinworker.cpp
+++ b/tests/platform_standin/standinworker.cpp
@@ -46,7 +46,7 @@
          {"sequence", ++sequence_}});
 }
 
-void StandInWorker::leaveStore()
+void StandInWorker::removeEntry()
 {
     store_.remove("servers", settings_.id);
 }
@@ -57,35 +57,35 @@
     const httpio::Headers &headers = request.head.headers;
     const std::string id = valueOf(headers, "Attempt-Id");
     const std::string expected = valueOf(headers, "Expect-Instance");
-    httpio::Headers answer{{"Attempt-Id", id}, {"Keep-Alive", "timeout=20"}};
+    httpio::Headers response{{"Attempt-Id", id}, {"Keep-Alive", "timeout=20"}};
     if (!expected.empty() && expected != settings_.id) {
-        answer.emplace_back("Instance-Id", settings_.id);
-        reply->respond(421, answer, "");
+        response.emplace_back("Instance-Id", settings_.id);
+        reply->respond(421, response, "");
         return;
     }
     if (isFull_ || running_ >= settings_.slots) {
         ++rejected_;
-        answer.emplace_back("Not-Executed", "1");
-        reply->respond(503, answer, "");
+        response.emplace_back("Not-Executed", "1");
+        reply->respond(503, response, "");
         return;
     }
     ++running_;
     runs_.push_back({id, valueOf(headers, "Tenant"), request.head.target, *request.body,
                      valueOf(headers, "Last-Event-Id"), headers});
-    answer.emplace_back("Response-Signature", settings_.id + "." + id);
+    response.emplace_back("Response-Signature", settings_.id + "." + id);
     reply->onClientDisconnected([this] {
-        ++clientsGone_;
+        ++clientsDisconnected_;
         --running_;
     });
     const bool isStream = httpio::findHeader(headers, "Prompt-Prefix") != nullptr;
     const int firstEvent = std::atoi(valueOf(headers, "Last-Event-Id").c_str()) + 1;
-    timers_.after(settings_.work, [this, reply, answer, isStream, firstEvent] {
+    timers_.after(settings_.work, [this, reply, response, isStream, firstEvent] {
         if (isStream) {
-            stream(reply, answer, firstEvent);
+            stream(reply, response, firstEvent);
             return;
         }
         --running_;
-        reply->respond(200, answer, "answer of " + settings_.id);
+        reply->respond(200, response, "answer of " + settings_.id);
     });
 }
 
--- a/tests/platform_standin/standinworker.h
+++ b/tests/platform_standin/standinworker.h
@@ -9,7 +9,7 @@
 
 namespace monsoongrade::standins {
 
-// What a worker was asked to run.
+// A request that a worker has run.
 struct WorkerRun
 {
     std::string requestId;
@@ -20,8 +20,8 @@
     httpio::Headers headers;
 };
 
-// A worker of the platform: registers itself in the store, answers plain requests after a working
-// time and streams with events, with the response headers that the platform's workers send.
+// A worker of the platform: registers itself in the store, responds to plain requests after a
+// processing time and to stream requests with events, with the headers of the platform's workers.
 class StandInWorker
 {
 public:
@@ -35,7 +35,7 @@
         int events = 4; // of a stream
         std::chrono::milliseconds eventGap{5};
         std::uint16_t port = 0;
-        // IP:PORT to announce in place of its own, of something that passes on to it.
+        // IP:PORT to announce in place of its own, such as that of a proxy in front of it.
         std::string announcedAddress = {};
     };
 
@@ -44,14 +44,14 @@
 
     // Writes the entry in the store with this state.
     void announce(const std::string &state);
-    void leaveStore();
-    // From now on requests are rejected as not run.
+    void removeEntry();
+    // While full, requests are rejected as not run.
     void setFull(bool isFull) { isFull_ = isFull; }
 
     const std::vector<WorkerRun> &runs() const { return runs_; }
     int rejected() const { return rejected_; }
-    // Clients that left before the end of their response.
-    int clientsGone() const { return clientsGone_; }
+    // Clients that disconnected before the end of their response.
+    int clientsDisconnected() const { return clientsDisconnected_; }
     std::string address() const;
     const Settings &settings() const { return settings_; }
 
@@ -70,7 +70,7 @@
     bool isFull_ = false;
     int running_ = 0;
     int rejected_ = 0;
-    int clientsGone_ = 0;
+    int clientsDisconnected_ = 0;
     int sequence_ = 0;
 };
 
