--- a/include/monsoongrade/routing/crashtracker.h
+++ b/include/monsoongrade/routing/crashtracker.h
@@ -54,7 +54,7 @@
     // rotation, for hosts that were disconnected.
     std::vector<CrashUpdate> takeUpdates(std::size_t maxItems, units::TimePoint now);
     // Crashes of all quarantined requests, at most maxItems, for a host that has just started.
-    std::vector<CrashUpdate> quarantineNews(std::size_t maxItems, units::TimePoint now) const;
+    std::vector<CrashUpdate> quarantineUpdates(std::size_t maxItems, units::TimePoint now) const;
 
 private:
     struct Crash
--- a/include/monsoongrade/routing/gossipplanner.h
+++ b/include/monsoongrade/routing/gossipplanner.h
@@ -24,7 +24,7 @@
     struct Round
     {
         std::vector<std::string> recipients;
-        std::vector<PeerUpdate> news;
+        std::vector<PeerUpdate> updates;
         std::vector<std::string> probeTargets;
     };
     // Plans the round that starts now. Marks hosts that answered no probe as lost in the table.
@@ -35,7 +35,7 @@
         detector_.onHeartbeat(ip, now);
     }
     // Hosts to report to a host that has just started: the store readers, and some others.
-    std::vector<PeerUpdate> newsForJoiningHost(const PeerTable &table, units::TimePoint now);
+    std::vector<PeerUpdate> updatesForJoiningHost(const PeerTable &table, units::TimePoint now);
 
 private:
     std::vector<std::string> recipients(const PeerTable &table, units::TimePoint now);
--- a/src/gateway/peergossip.cpp
+++ b/src/gateway/peergossip.cpp
@@ -99,7 +99,7 @@
         send(ip, encodeProbe());
     if (round.recipients.empty())
         return;
-    const std::string datagram = encode(round.news);
+    const std::string datagram = encode(round.updates);
     const std::vector<routing::CrashUpdate> crashes
         = crashes_.takeUpdates(MaxCrashes, timers_.now());
     const std::vector<routing::RateLimitUpdate> limits
@@ -116,9 +116,9 @@
 // Also sends the quarantined requests, which a host that has just started does not know.
 void PeerGossip::sendInitialState(const std::string &joiningHost)
 {
-    send(joiningHost, encode(planner_.newsForJoiningHost(table_, timers_.now())));
+    send(joiningHost, encode(planner_.updatesForJoiningHost(table_, timers_.now())));
     const std::vector<routing::CrashUpdate> crashes
-        = crashes_.quarantineNews(MaxCrashes, timers_.now());
+        = crashes_.quarantineUpdates(MaxCrashes, timers_.now());
     if (!crashes.empty())
         send(joiningHost, encodeUpdates(crashes, {}));
 }
--- a/src/requests/classifier.cpp
+++ b/src/requests/classifier.cpp
@@ -1,6 +1,6 @@
 #include <monsoongrade/requests/classifier.h>
 
-#include <requests/internal/gatewayheaders.h>
+#include <requests/internal/ownheaders.h>
 
 #include <monsoongrade/units/secrets.h>
 
--- a/src/requests/internal/answerheaders.cpp
+++ b/src/requests/internal/answerheaders.cpp
@@ -1,6 +1,6 @@
 #include <requests/internal/answerheaders.h>
 
-#include <requests/internal/gatewayheaders.h>
+#include <requests/internal/ownheaders.h>
 
 namespace monsoongrade::requests::internal {
 
--- a/src/requests/internal/gatewayheaders.cpp
+++ b/src/requests/internal/ownheaders.cpp
@@ -1,4 +1,4 @@
-#include <requests/internal/gatewayheaders.h>
+#include <requests/internal/ownheaders.h>
 
 namespace monsoongrade::requests::internal {
 
--- a/src/routing/crashtracker.cpp
+++ b/src/routing/crashtracker.cpp
@@ -237,8 +237,8 @@
     return updates;
 }
 
-std::vector<CrashUpdate> CrashTracker::quarantineNews(std::size_t maxItems,
-                                                      units::TimePoint now) const
+std::vector<CrashUpdate> CrashTracker::quarantineUpdates(std::size_t maxItems,
+                                                         units::TimePoint now) const
 {
     std::vector<CrashUpdate> updates;
     for (const auto &record : records_) {
--- a/src/routing/gossipplanner.cpp
+++ b/src/routing/gossipplanner.cpp
@@ -34,7 +34,7 @@
         round.probeTargets = monitorPeers(table, now);
     round.recipients = recipients(table, now);
     if (!round.recipients.empty())
-        round.news = updatesToSend(table, now);
+        round.updates = updatesToSend(table, now);
     return round;
 }
 
@@ -64,7 +64,7 @@
 std::vector<PeerUpdate> GossipPlanner::updatesToSend(PeerTable &table, units::TimePoint now)
 {
     if (!table.isLarge())
-        return newsForJoiningHost(table, now);
+        return updatesForJoiningHost(table, now);
     std::vector<PeerUpdate> updates = table.takeChanges(MaxPeersPerDatagram, now, random_);
     if (updates.size() >= MinPeersPerDatagram)
         return updates;
@@ -73,8 +73,8 @@
     return updates;
 }
 
-std::vector<PeerUpdate> GossipPlanner::newsForJoiningHost(const PeerTable &table,
-                                                          units::TimePoint now)
+std::vector<PeerUpdate> GossipPlanner::updatesForJoiningHost(const PeerTable &table,
+                                                             units::TimePoint now)
 {
     // A different selection each time: in a fleet with more hosts than fit in a datagram,
     // updates of those always left out would only come from themselves, seconds apart, and they
--- a/tests/routing/crashtracker_test.cpp
+++ b/tests/routing/crashtracker_test.cpp
@@ -227,7 +227,7 @@
     CHECK(hosts.isQuarantined(1));
 
     CrashTracker started;
-    for (const CrashUpdate &update : hosts.trackers[0].quarantineNews(DatagramItems, hosts.now))
+    for (const CrashUpdate &update : hosts.trackers[0].quarantineUpdates(DatagramItems, hosts.now))
         started.receive(update, hosts.now);
     CHECK(started.quarantineRemaining(Fatal, hosts.now).has_value());
 }
--- a/tests/routing/gossipplanner_test.cpp
+++ b/tests/routing/gossipplanner_test.cpp
@@ -83,7 +83,7 @@
                 sendDatagram(*byIp.at(ip), host.ip, {});
         }
         for (const std::string &ip : round.recipients)
-            sendDatagram(host, ip, round.news);
+            sendDatagram(host, ip, round.updates);
     }
     // Returns whether the datagram arrives.
     bool sendDatagram(GossipingHost &from, const std::string &to,
@@ -107,7 +107,7 @@
         for (; !joins.empty(); joins.clear()) {
             const auto [contact, joiningHost] = joins.back();
             for (const PeerUpdate &each :
-                 contact->planner.newsForJoiningHost(contact->table, now)) {
+                 contact->planner.updatesForJoiningHost(contact->table, now)) {
                 if (each.ip != joiningHost->ip)
                     joiningHost->table.receive(each, now);
             }
