--- a/tests/docs/reference_test.cpp
+++ b/tests/docs/reference_test.cpp
@@ -205,6 +205,23 @@
     }
 }
 
+// A page referred to tests by names that they no longer had.
+TEST_CASE("Pages.NameOnlyTestsThatExist")
+{
+    std::set<std::string> tests;
+    for (const auto &entry : fs::recursive_directory_iterator(Root + "/tests")) {
+        if (entry.path().extension() == ".cpp")
+            tests.merge(matches(textOf(entry.path()), "TEST_CASE\\w*\\([^\"]*\"([^\"]+)\""));
+    }
+    CHECK_FALSE(tests.empty());
+    for (const auto &entry : fs::recursive_directory_iterator(Root + "/docs")) {
+        if (entry.path().extension() != ".md")
+            continue;
+        checkContained(matches(textOf(entry.path()), "`([A-Z]\\w+\\.[A-Z]\\w+)`"), tests,
+                       "a test, but named by " + entry.path().filename().string());
+    }
+}
+
 TEST_CASE("ResultCodes.PageAndCodeAgree")
 {
     using monsoongrade::requests::httpStatusFor;
